--- a/include/wisteriaflow/gateway/configuration.h
+++ b/include/wisteriaflow/gateway/configuration.h
@@ -1,7 +1,8 @@
-// What operators have declared for opaque requests: routes, services, workspaces and limits.
+// The configuration that operators have declared for opaque requests: routes, services, workspaces
+// and limits.
 //
-// One immutable value for each version. A request keeps the value that it was admitted under, so
-// that a change in the middle of its life cannot mix two versions.
+// A configuration is immutable, with one value for each version. A request keeps the value that it
+// was admitted under, so that a configuration change while it runs cannot mix two versions.
 //
 //   const configuration_index index(std::move(declared));
 //   if (const auto* r = index.match("shop.example", "/orders/7")) { ... r->services ... }
@@ -22,14 +23,14 @@
 
 namespace wisteriaflow::gateway {
 
-// How often one call may run at an endpoint.
+// Whether a call may run more than once.
 enum class call_kind {
   idempotent,     // may run again
   non_idempotent, // runs at most once
-  stream,         // a series of numbered events; may go on elsewhere only where resumable
+  stream, // a series of numbered events; resumes at another endpoint only if the route is resumable
 };
 
-// A service that takes part of a route's calls.
+// A service and its share of a route's calls.
 struct weighted_service {
   std::string service;
   std::uint32_t weight = 1;
@@ -37,22 +38,25 @@
   friend bool operator==(const weighted_service&, const weighted_service&) = default;
 };
 
-// Which calls go to which services, and how they are treated.
+// The calls that belong together by host and path prefix, the services that they go to, and how
+// they are handled.
 struct route {
   std::string name;
   std::string host;
   std::string path_prefix; // begins and ends with a slash
   call_kind kind = call_kind::idempotent;
-  bool resumable = false; // a broken stream may go on at another endpoint
+  bool resumable = false; // an interrupted stream may resume at another endpoint
   bool is_public = false; // needs no API key
   std::chrono::milliseconds timeout{30'000};
-  std::chrono::milliseconds target_latency{1'000}; // to the whole answer, or to the first event
-  std::chrono::milliseconds longest_pause{1'000};  // between events of a stream that is in time
-  int priority = 0;                                // 0 is the most urgent
-  unsigned max_attempts = 1;                       // endpoints that one call may be sent to
+  // Time until the whole answer, or until the first event of a stream.
+  std::chrono::milliseconds target_latency{1'000};
+  // Longest time between two events of a stream that meets its target.
+  std::chrono::milliseconds max_event_gap{1'000};
+  int priority = 0;          // 0 is the most urgent
+  unsigned max_attempts = 1; // endpoints that one call may be sent to, including the first
   std::vector<weighted_service> services;
 
-  // Whether a call may be sent again after it may have run.
+  // Whether a call may be sent again when an earlier attempt may have run.
   [[nodiscard]] bool repeatable() const
   {
     return kind == call_kind::idempotent || (kind == call_kind::stream && resumable);
@@ -61,7 +65,8 @@
   friend bool operator==(const route&, const route&) = default;
 };
 
-// What a model engine of a service can hold.
+// Capacity of one model engine: the requests that it runs at once and the tokens that its KV cache
+// holds.
 struct engine_limits {
   std::uint32_t batch_places = 1;
   std::uint64_t kv_tokens = 0;
@@ -71,16 +76,17 @@
 
 // Bounds and prices for the number of endpoints of a service in each availability zone.
 struct scaling_limits {
-  unsigned least = 0;
-  unsigned most = 0;
-  std::chrono::milliseconds start_time{0};         // from an order until the endpoint serves
-  double reclaimable_price = 1;                    // as a part of an on-demand endpoint's price
-  std::map<availability_zone, double> zone_prices; // of an on-demand endpoint, a second
+  unsigned min_endpoints = 0;
+  unsigned max_endpoints = 0;
+  std::chrono::milliseconds startup_time{0}; // from the order of an endpoint until it serves
+  double reclaimable_price_ratio = 1;        // as a fraction of the price of an on-demand endpoint
+  std::map<availability_zone, double> zone_prices; // of an on-demand endpoint, per second
 
   friend bool operator==(const scaling_limits&, const scaling_limits&) = default;
 };
 
-// A service as declared.
+// A service as declared. `engine` is set for model engines, `scaling` if the daemons order
+// endpoints.
 struct service_definition {
   std::string name;
   std::optional<engine_limits> engine;
@@ -89,15 +95,15 @@
   friend bool operator==(const service_definition&, const service_definition&) = default;
 };
 
-// A workspace: who its callers are and how much they may ask for, over the whole fleet.
+// A workspace: the API keys of its callers, and its rate limit over the whole fleet.
 struct workspace_definition {
   workspace_id id;
   std::vector<std::string> api_keys;
-  std::optional<int> priority; // overrides the route's
-  double rate = 0;             // units a second; 0: no limit
-  double burst = 0;            // units
-  bool counts_tokens = false;  // the unit is a token, not a request
-  double unsized_tokens = 0;   // counted for a request that does not say its size
+  std::optional<int> priority;       // overrides the priority of the route
+  double rate = 0;                   // units per second; 0: no limit
+  double burst = 0;                  // units
+  bool counts_tokens = false;        // the unit is a token instead of a request
+  double default_request_tokens = 0; // charged for a request that does not state its size
 
   friend bool operator==(const workspace_definition&, const workspace_definition&) = default;
 };
@@ -113,7 +119,7 @@
   friend bool operator==(const configuration&, const configuration&) = default;
 };
 
-// A configuration with the look-ups that every call needs.
+// A configuration with the lookup tables that every call needs.
 class configuration_index {
  public:
   explicit configuration_index(configuration declared);
@@ -124,19 +130,19 @@
   [[nodiscard]] const configuration& declared() const { return declared_; }
   [[nodiscard]] std::uint64_t version() const { return declared_.version; }
 
-  // The route of `host` (case and port ignored) whose prefix is the longest that begins `path`;
-  // null if there is none.
+  // Returns the route of `host` (case and port are ignored) with the longest prefix of `path`, or
+  // null if no route matches.
   [[nodiscard]] const route* match(std::string_view host, std::string_view path) const;
 
-  // The workspace that holds `api_key`, or null.
+  // Returns the workspace that `api_key` belongs to, or null.
   [[nodiscard]] const workspace_definition* workspace_of(std::string_view api_key) const;
 
-  // The service by name, or null.
+  // Returns the service with this name, or null.
   [[nodiscard]] const service_definition* service(std::string_view name) const;
 
  private:
   configuration declared_;
-  // Routes of a host, longest prefix first.
+  // Routes of each host, longest prefix first.
   std::unordered_map<std::string, std::vector<const route*>> by_host_;
   std::unordered_map<std::string_view, const workspace_definition*> by_key_;
   std::unordered_map<std::string_view, const service_definition*> by_service_;
--- a/include/wisteriaflow/gateway/endpoint_pool.h
+++ b/include/wisteriaflow/gateway/endpoint_pool.h
@@ -90,7 +90,7 @@
   mono_time target;
   mono_time deadline;
   std::span<const endpoint_id> excluded;
-  version_lane lane = {};
+  version_selection lane = {};
   // Whether the caller may still be told that the call was not run. If not, it is sent to the least
   // bad endpoint though it may come too late.
   bool may_be_refused = true;
@@ -201,10 +201,10 @@
   // The same with the endpoints at which it finds nobody, for its peers; and what a peer told.
   [[nodiscard]] endpoint_work_map work_to_tell(mono_time now) const;
   void on_peer_work(const daemon_id& peer, endpoint_work_map work, mono_time told_at);
-  [[nodiscard]] const peers_work& peers() const { return peers_; }
+  [[nodiscard]] const peer_work_totals& peers() const { return peers_; }
 
   // The same for prompt tokens. `refresh_loads` brings the own figure up to date.
-  [[nodiscard]] const prefill_demand& own_prefill() const { return meter_.own(); }
+  [[nodiscard]] const prefill_demand& own_prefill() const { return meter_.local_rates(); }
   void on_peer_prefill(const daemon_id& peer, prefill_demand demand, mono_time told_at);
 
   // Endpoints of `service` that the whole fleet's prompts, sent and waiting, would keep busy all
@@ -233,7 +233,7 @@
                                                const std::vector<routing::endpoint_slot>& open,
                                                mono_time now);
   // Daemons whose work is known, this one included.
-  [[nodiscard]] std::size_t live_daemons() const { return 1 + peers_.number(); }
+  [[nodiscard]] std::size_t live_daemons() const { return 1 + peers_.peer_count(); }
   pool_choice choose_for_plain(const endpoint_wish& wish,
                                const std::vector<routing::endpoint_slot>& open, mono_time now);
   // Where the endpoint in `slot` may copy the prompt's shared parts from.
@@ -265,7 +265,7 @@
   std::map<endpoint_id, std::uint64_t> held_removals_; // with the revision of the removal
   gateway::departures departures_;
   stated_terms terms_;
-  peers_work peers_;
+  peer_work_totals peers_;
   std::map<endpoint_id, endpoint_work> own_;
   endpoint_health health_;
   demand_meter meter_;
--- a/include/wisteriaflow/gateway/fleet_clock.h
+++ b/include/wisteriaflow/gateway/fleet_clock.h
@@ -1,7 +1,8 @@
-// Wall-clock time that a jump of one instance's clock does not move.
+// Wall-clock time that is not affected when the clock of one instance jumps.
 //
-// Each daemon tells its peers what its clock reads; the fleet's time is the median of the readings,
-// carried on by the monotonic clock. It is right as long as fewer than half of the clocks are off.
+// Each daemon reports its clock to its peers. The fleet's time is the median of these readings,
+// advanced by the monotonic clock. It is correct as long as fewer than half of the clocks are
+// wrong.
 
 #ifndef WISTERIAFLOW_GATEWAY_FLEET_CLOCK_H_
 #define WISTERIAFLOW_GATEWAY_FLEET_CLOCK_H_
@@ -17,23 +18,23 @@
 // Not thread-safe.
 class fleet_clock {
  public:
-  // A reading counts for this long after it was heard.
-  explicit fleet_clock(std::chrono::milliseconds reading_valid) : reading_valid_(reading_valid) {}
+  // A reading is used for `reading_ttl` after it was received.
+  explicit fleet_clock(std::chrono::milliseconds reading_ttl) : reading_ttl_(reading_ttl) {}
 
-  // A peer's clock read `wall` about now.
+  // Records that the clock of `peer` read `wall` at about `now`.
   void on_reading(const daemon_id& peer, wall_time wall, mono_time now);
 
-  // The fleet's time; from this instance's clock alone if no peer was heard lately.
+  // Returns the fleet's time. Without a recent reading of a peer this is the time of this
+  // instance's own clock.
   [[nodiscard]] wall_time now(const clock_reading& own) const;
 
  private:
   struct reading {
-    std::chrono::milliseconds offset{
-        0}; // of the wall clock from the monotonic clock of this process
+    std::chrono::milliseconds offset{0}; // wall clock minus the monotonic clock of this process
     mono_time valid_until;
   };
 
-  std::chrono::milliseconds reading_valid_;
+  std::chrono::milliseconds reading_ttl_;
   std::map<daemon_id, reading> readings_;
 };
 
--- a/include/wisteriaflow/gateway/fleet_view.h
+++ b/include/wisteriaflow/gateway/fleet_view.h
@@ -1,4 +1,5 @@
-// The fleet of gateway daemons as one of them sees it, for what is divided among them.
+// The fleet of gateway daemons as seen by one daemon: the input for dividing rates and quotas among
+// the daemons.
 
 #ifndef WISTERIAFLOW_GATEWAY_FLEET_VIEW_H_
 #define WISTERIAFLOW_GATEWAY_FLEET_VIEW_H_
@@ -12,17 +13,18 @@
 namespace wisteriaflow::gateway {
 
 struct fleet_view {
-  std::vector<daemon_id> candidates; // that stay and may be given a part, without this daemon
-  std::size_t heard = 1;             // daemons that this one hears, and it; leaving ones, too
-  std::size_t running = 1;           // those that may be admitting, heard or not
-  bool leaving = false;              // this daemon
-
-  // The part of what belongs to the whole fleet that those who hear each other may give away: so
-  // two sides of a cut together give away no more than there is.
-  [[nodiscard]] double heard_part() const
+  // Daemons that do not drain and may own a share, without this one.
+  std::vector<daemon_id> candidates;
+  std::size_t live_count = 1;    // live daemons including this one and draining ones
+  std::size_t running_count = 1; // daemons that may still admit requests, live or not
+  bool leaving = false;          // this daemon is draining
+
+  // The fraction of a fleet-wide limit that the daemons on this side of a network partition may use
+  // together. It keeps the sum over both sides of a partition within the limit.
+  [[nodiscard]] double live_fraction() const
   {
-    const auto all = static_cast<double>(std::max(heard, running));
-    return static_cast<double>(heard) / all;
+    const auto all = static_cast<double>(std::max(live_count, running_count));
+    return static_cast<double>(live_count) / all;
   }
 
   friend bool operator==(const fleet_view&, const fleet_view&) = default;
--- a/include/wisteriaflow/gateway/peer_report.h
+++ b/include/wisteriaflow/gateway/peer_report.h
@@ -1,5 +1,6 @@
-// What one gateway daemon tells its peers, a few times a second, and how it travels: as JSON over
-// HTTP between the daemons' own ports.
+// The state report that gateway daemons exchange a few times per second, and its encoding as JSON
+// for HTTP between the peer ports of the daemons. Also the messages for quota requests and for
+// endpoint records.
 
 #ifndef WISTERIAFLOW_GATEWAY_PEER_REPORT_H_
 #define WISTERIAFLOW_GATEWAY_PEER_REPORT_H_
@@ -25,92 +26,95 @@
 
 namespace wisteriaflow::gateway {
 
-// A message of a peer that cannot be read.
+// Thrown for a message of a peer that cannot be parsed.
 class peer_report_error : public error {
  public:
   using error::error;
 };
 
-// A daemon as it describes itself.
+// What a daemon states about itself.
 struct daemon_contact {
   daemon_id id;
-  std::uint64_t incarnation = 0; // different in each process
+  std::uint64_t incarnation = 0; // differs between processes
   http::socket_address peer_address;
   http::socket_address caller_address;
   availability_zone zone;
-  bool ready = false;   // may be given to callers
-  bool leaving = false; // is about to end
-  bool acting = false;  // holds the fleet's duties
+  bool ready = false;   // may be listed to callers
+  bool leaving = false; // is draining and will stop
+  bool acting = false;  // holds the fleet lease and performs the leader's duties
 
   friend bool operator==(const daemon_contact&, const daemon_contact&) = default;
 };
 
-// How long ago a daemon was heard, by the sender or by those who told it.
-struct peer_age {
+// Time since a daemon was last seen by the sender or by any daemon that reported to the sender.
+struct peer_last_seen {
   daemon_id id;
   std::chrono::milliseconds age{0};
 
-  friend bool operator==(const peer_age&, const peer_age&) = default;
+  friend bool operator==(const peer_last_seen&, const peer_last_seen&) = default;
 };
 
-// What another daemon told of itself, passed on.
+// The last state of another daemon, passed on by the sender.
 struct relayed_peer {
   daemon_contact contact;
-  std::chrono::milliseconds age{0}; // since it told so
+  std::chrono::milliseconds age{0}; // since the daemon stated it
   endpoint_work_map work;
   prefill_demand prefill;
 
   friend bool operator==(const relayed_peer&, const relayed_peer&) = default;
 };
 
+// The state of the sender and what it knows of others.
 struct peer_report {
   daemon_contact self;
-  std::uint64_t configuration_version = 0; // in force at the sender; 0: none
-  wall_time clock;                         // the sender's own, uncorrected
-  std::vector<daemon_contact> known;       // some of the daemons that the sender hears
-  std::vector<peer_age> heard;             // those that count as live, and more
-  std::vector<relayed_peer> relayed;       // those of whom the sender has the latest news
-  endpoint_work_map work;                  // the sender's own
-  prefill_demand prefill;                  // the same
+  std::uint64_t configuration_version = 0;   // in force at the sender; 0: none
+  wall_time clock;                           // wall clock of the sender, not corrected
+  std::vector<daemon_contact> known_daemons; // some of the live daemons that the sender knows
+  std::vector<peer_last_seen> last_seen;     // of all live daemons, and of some others
+  std::vector<relayed_peer> relayed; // the most recent states that the sender has of other daemons
+  endpoint_work_map work;            // of the sender
+  prefill_demand prefill;            // of the sender
   std::vector<endpoint_departure> departures;
-  std::vector<told_terms> terms; // that endpoints have stated
-  endpoint_view endpoints;       // how current the sender's view of them is
+  std::vector<told_terms> terms; // terms that endpoints have stated
+  endpoint_view endpoints;       // how current the sender's view of the endpoints is
   std::vector<usage_row> usage;
-  // Operators' orders to move services to other versions, all up to a revision of the store, and
-  // how the sender's calls fare on both versions.
-  rollout_book::entries rollouts;
-  std::uint64_t rollouts_known_up_to = 0;
+  // Roll-out orders, complete up to the store revision `rollouts_revision`, and the outcomes of the
+  // sender's calls on the two versions of each.
+  rollout_registry::entries rollouts;
+  std::uint64_t rollouts_revision = 0;
   std::vector<rollout_row> rollout_rows;
-  crash_news crashes;               // what the sender has heard of them lately
-  std::uint64_t crash_digest = 0;   // of all that it knows; see crash_suspects
-  std::chrono::milliseconds age{0}; // since it was made; travels beside the report
+  crash_news crashes;             // crashes that the sender learned of recently
+  std::uint64_t crash_digest = 0; // over all crashes that the sender knows; see crash_suspects
+  // Time since the report was made. Sent in a header, not in the encoded report.
+  std::chrono::milliseconds age{0};
 
   friend bool operator==(const peer_report&, const peer_report&) = default;
 };
 
-// A question for units of a workspace's rate; see workspace_quota.
-struct quota_question {
+// Request to the owner of a workspace's rate limit for units; see workspace_quota.
+struct quota_request {
   workspace_id workspace;
-  double units = 0; // at least
-  double ask = 0;   // at best
+  double min_units = 0;    // granted completely or not at all
+  double wanted_units = 0; // including units for later requests
 
-  friend bool operator==(const quota_question&, const quota_question&) = default;
+  friend bool operator==(const quota_request&, const quota_request&) = default;
 };
 
-[[nodiscard]] std::string encode_quota_question(const quota_question& question);
+[[nodiscard]] std::string encode_quota_request(const quota_request& request);
 [[nodiscard]] std::string encode_quota_grant(const quota_grant& grant);
 
-// These throw peer_report_error.
-[[nodiscard]] quota_question decode_quota_question(std::string_view text);
+// Both throw peer_report_error.
+[[nodiscard]] quota_request decode_quota_request(std::string_view text);
 [[nodiscard]] quota_grant decode_quota_grant(std::string_view text);
 
-// Endpoints' descriptions for a peer; see endpoint_feed.
+// Endpoint records for a peer; see endpoint_feed.
 [[nodiscard]] std::string encode_endpoint_changes(const endpoint_changes& changes);
 // Throws peer_report_error.
 [[nodiscard]] endpoint_changes decode_endpoint_changes(std::string_view text);
 
-// The report as it stands `age` after it was made: a daemon encodes one for all who ask within a
-// short time, so what it tells of time has moved on when it is sent.
+// Returns the report with all ages and the clock advanced by `age`. A daemon encodes one report for
+// all peers that ask within a short time, so the values that depend on time are older when the
+// report is sent.
 [[nodiscard]] peer_report aged_by(peer_report report, std::chrono::milliseconds age);
 
 [[nodiscard]] std::string encode_peer_report(const peer_report& report);
--- a/include/wisteriaflow/gateway/peer_rounds.h
+++ b/include/wisteriaflow/gateway/peer_rounds.h
@@ -1,14 +1,15 @@
-// Which peers a daemon asks in each round of its exchange of reports.
+// Chooses the peers that a daemon exchanges reports with in each gossip round.
 //
-// A small fleet's daemons all ask each other in every round. In a large one each asks a few a
-// round, those heard longest ago first, and passes on what it heard, so that news of every peer
-// comes within a few rounds by way of others. A few peers, the leads, need everybody's own reports,
-// since they add up counts, and tell what they read in the store: one of them is asked every
-// 0.8 s.
+// In a small fleet every daemon asks all others in every round. In a large fleet each daemon asks a
+// few peers per round, those with the oldest report first, and relays what it received, so that the
+// state of every peer arrives within a few rounds by way of others. The coordinators, a few daemons
+// that sum up counters and relay what they read from the store, need direct reports from all
+// daemons: one of them is asked every 0.8 s.
 //
-//   peer_rounds rounds({.period = 400ms}, 1);
-//   const auto asked = rounds.next(table.addresses_to_ask(now), leads, now);
-//   rounds.on_answer(asked.front(), later);
+//   gossip_scheduler scheduler({.period = 400ms}, 1);
+//   const auto known = table.addresses_to_contact(now);
+//   const auto targets = scheduler.next_targets(known, coordinators, now);
+//   scheduler.on_report(targets.front(), later);
 
 #ifndef WISTERIAFLOW_GATEWAY_PEER_ROUNDS_H_
 #define WISTERIAFLOW_GATEWAY_PEER_ROUNDS_H_
@@ -26,67 +27,74 @@
 
 namespace wisteriaflow::gateway {
 
-struct peer_rounds_options {
-  // From one round to the next.
+struct gossip_scheduler_options {
+  // Time between two rounds.
   std::chrono::milliseconds period{400};
-  // A fleet of up to so many peers asks all of them.
-  std::size_t all_asked = 8;
-  // Peers asked in one round of a larger one: few, since each question brings a report both ways.
+  // A fleet of up to this many peers asks all of them in each round.
+  std::size_t full_mesh_limit = 8;
+  // Peers asked per round in a larger fleet. It is small because each exchange transfers a report
+  // in both directions.
   std::size_t fanout = 3;
-  // Peers that are told news at once.
-  std::size_t news_fanout = 6;
-  // From one question to a lead to the next. With three leads each hears each daemon within four
-  // seconds, and every daemon's view of the endpoints is two seconds old at most, which is when it
-  // would read the store itself.
-  std::chrono::milliseconds lead_period{800};
-  // The same for each peer, where that is longer: what a lead is asked by all stays bounded.
-  std::chrono::milliseconds lead_period_by_peer{4};
-  // An address at which nobody has answered so many times is asked every so many rounds.
-  unsigned silent_rounds = 5;
+  // Peers that receive an urgent update at once.
+  std::size_t urgent_fanout = 6;
+  // Time between two requests to coordinators. With three coordinators each of them gets a report
+  // of each daemon within four seconds, and the endpoint view of every daemon is at most two
+  // seconds old, which is the age at which the daemon would read the store itself.
+  std::chrono::milliseconds coordinator_period{800};
+  // The same per peer of the fleet; the longer of the two periods applies. It bounds the requests
+  // that a coordinator receives from the whole fleet.
+  std::chrono::milliseconds coordinator_period_per_peer{4};
+  // An address that left n requests unanswered is asked only in every n-th round.
+  unsigned silent_backoff_rounds = 5;
 };
 
 // Not thread-safe.
-class peer_rounds {
+class gossip_scheduler {
  public:
-  peer_rounds(peer_rounds_options options, std::uint64_t seed) : options_(options), random_(seed) {}
+  gossip_scheduler(gossip_scheduler_options options, std::uint64_t seed)
+      : options_(options), random_(seed)
+  {
+  }
 
-  // Whether a fleet of so many daemons is too large for all to ask all.
+  // Whether a fleet of this many daemons is too large for asking all peers in every round.
   [[nodiscard]] bool is_large(std::size_t daemons) const
   {
-    return daemons > options_.all_asked + 1;
+    return daemons > options_.full_mesh_limit + 1;
   }
 
-  // The addresses, of `known`, to ask in a round of the regular exchange, and now and then the one
-  // of `leads` heard longest ago besides. Peers heard within half a period are left out: they asked
-  // meanwhile.
+  // Returns those of `addresses` to ask in a regular round, and in addition, once per
+  // coordinator period, the one of `coordinators` with the oldest report. Leaves out peers that
+  // reported within half a period, since they have just asked this daemon.
   [[nodiscard]] std::vector<http::socket_address>
-  next(std::vector<http::socket_address> known, const std::vector<http::socket_address>& leads,
-       mono_time now);
+  next_targets(std::vector<http::socket_address> addresses,
+               const std::vector<http::socket_address>& coordinators, mono_time now);
 
-  // The same for a round that spreads news: whoever it is, fresh or silent.
+  // Returns the targets of an urgent update: a random choice, whether or not a peer has just
+  // reported or is silent.
   [[nodiscard]] std::vector<http::socket_address>
-  next_for_news(std::vector<http::socket_address> known);
+  next_urgent_targets(std::vector<http::socket_address> addresses);
 
-  // A report of the daemon at `peer` has come.
-  void on_answer(const http::socket_address& peer, mono_time now);
+  // Records that a report of the daemon at `peer` has arrived.
+  void on_report(const http::socket_address& peer, mono_time now);
 
  private:
-  struct standing {
-    mono_time answered_at;   // last; the clock's start: never
-    unsigned unanswered = 0; // times asked since
+  struct peer_state {
+    mono_time answered_at;   // time of the last report; the clock's epoch: never
+    unsigned unanswered = 0; // requests since then
   };
 
-  [[nodiscard]] standing standing_of(const http::socket_address& peer) const;
-  [[nodiscard]] bool is_due(const standing& it, mono_time now) const;
-  // The lead whose turn it is; none if one was asked a short time ago.
-  std::optional<http::socket_address> lead_to_ask(const std::vector<http::socket_address>& leads,
-                                                  std::size_t peers, mono_time now);
-  void note_asked(const std::vector<http::socket_address>& peers);
+  [[nodiscard]] peer_state state_of(const http::socket_address& peer) const;
+  [[nodiscard]] bool is_due(const peer_state& it, mono_time now) const;
+  // Returns the coordinator to ask next; none if one was asked less than a period ago.
+  std::optional<http::socket_address>
+  coordinator_to_ask(const std::vector<http::socket_address>& coordinators, std::size_t peers,
+                     mono_time now);
+  void record_asked(const std::vector<http::socket_address>& peers);
 
-  peer_rounds_options options_;
+  gossip_scheduler_options options_;
   std::mt19937_64 random_;
-  std::map<http::socket_address, standing> standings_;
-  mono_time lead_asked_at_;
+  std::map<http::socket_address, peer_state> states_;
+  mono_time coordinator_asked_at_;
   unsigned round_ = 0;
 };
 
--- a/include/wisteriaflow/gateway/peer_table.h
+++ b/include/wisteriaflow/gateway/peer_table.h
@@ -1,9 +1,10 @@
-// The other gateway daemons, and when each was last heard.
+// The other gateway daemons and when each was last seen.
 //
-// A daemon is live while somebody hears it: daemons pass on how long ago they heard whom, and what
-// those told of themselves, so that each of many need not hear all of them often. What a daemon
-// told last counts, whichever way it came; of a daemon that is only said to exist nothing but the
-// address at which it can be asked is taken.
+// A daemon is live while any daemon receives its reports. Daemons relay how long ago each daemon
+// was seen and what it stated about itself, so that in a large fleet not every daemon needs
+// frequent reports from all others. The most recent statement of a daemon counts, whether it came
+// directly or was relayed. Of a daemon that is only listed as known by a peer, nothing but its
+// address is used.
 
 #ifndef WISTERIAFLOW_GATEWAY_PEER_TABLE_H_
 #define WISTERIAFLOW_GATEWAY_PEER_TABLE_H_
@@ -23,14 +24,14 @@
 
 struct peer_table_options {
   daemon_id self;
-  http::socket_address self_address; // towards peers
-  // Four missed reports: fewer would take a peer behind a lossy link for dead.
-  std::chrono::milliseconds live_for{1'600};
-  // A silent peer may only be cut off and still admit requests; it is counted for this long,
-  // which is longer than networks are usually cut.
-  std::chrono::milliseconds counted_for{20'000};
-  // A peer that was silent for so long is no longer asked.
-  std::chrono::milliseconds asked_for{60'000};
+  http::socket_address self_address; // for peers
+  // Four missed reports. With fewer, a peer behind a lossy link would be considered dead.
+  std::chrono::milliseconds live_timeout{1'600};
+  // A silent peer may only be partitioned and still admit requests. It counts as running for this
+  // time, which is longer than most network partitions.
+  std::chrono::milliseconds running_timeout{20'000};
+  // A peer that was silent for this long is no longer contacted.
+  std::chrono::milliseconds contact_timeout{60'000};
 };
 
 // Not thread-safe.
@@ -38,54 +39,57 @@
  public:
   explicit peer_table(peer_table_options options) : options_(std::move(options)) {}
 
-  // Addresses known beforehand; asked until a daemon there is known by name.
+  // Adds an address known in advance. It is contacted until the id of the daemon there is known.
   void add_address(const http::socket_address& address);
 
-  // A daemon's own report arrived.
+  // Records a report received directly from its daemon.
   void on_report(const peer_report& report, mono_time now);
 
-  // What a daemon told of itself at `told_at`, by way of others. True if that is news.
-  bool on_relayed(const daemon_contact& contact, mono_time told_at);
+  // Records a relayed statement that the daemon made about itself at `as_of`. Returns true if it is
+  // newer than what was known.
+  bool on_relayed(const daemon_contact& contact, mono_time as_of);
 
-  // Up to `most` live daemons of whom there is the latest news, each with when it told of itself.
-  struct told_contact {
+  // A statement of a daemon about itself and when it was made.
+  struct dated_contact {
     daemon_contact contact;
-    mono_time told_at;
+    mono_time as_of;
   };
-  [[nodiscard]] std::vector<told_contact> latest(std::size_t most, mono_time now) const;
+  // Returns up to `max_count` live daemons with the most recent statements.
+  [[nodiscard]] std::vector<dated_contact> most_recent(std::size_t max_count, mono_time now) const;
 
-  // Whether anybody has heard the daemon lately; a leaving one is live until it falls silent.
+  // Whether any daemon has seen the peer recently. A draining daemon is live until it is silent.
   [[nodiscard]] bool is_live(const daemon_id& peer, mono_time now) const;
 
-  // Up to `most` daemons, those heard last first.
-  [[nodiscard]] std::vector<peer_age> heard_last(std::size_t most, mono_time now) const;
+  // Returns up to `max_count` daemons, the most recently seen first.
+  [[nodiscard]] std::vector<peer_last_seen> most_recently_seen(std::size_t max_count,
+                                                               mono_time now) const;
 
-  // Whether every live daemon's own report has come since `t`.
+  // Whether every live daemon has reported directly since `t`.
   [[nodiscard]] bool all_reported_since(mono_time t, mono_time now) const;
 
-  // Contacts of live daemons.
+  // Statements of the live daemons.
   [[nodiscard]] std::vector<daemon_contact> live(mono_time now) const;
 
-  // Where a daemon is asked; nothing if it was never heard.
+  // Address at which daemons reach the peer; nothing if the peer is unknown.
   [[nodiscard]] std::optional<http::socket_address> address_of(const daemon_id& peer) const;
 
-  // Daemons that may be admitting requests, this one included.
-  [[nodiscard]] std::size_t counted(mono_time now) const;
+  // Number of daemons that may be admitting requests, this one included.
+  [[nodiscard]] std::size_t running_count(mono_time now) const;
 
-  // Where to send reports.
-  [[nodiscard]] std::vector<http::socket_address> addresses_to_ask(mono_time now) const;
+  // Addresses to send reports to.
+  [[nodiscard]] std::vector<http::socket_address> addresses_to_contact(mono_time now) const;
 
  private:
   struct entry {
     daemon_contact contact;
-    mono_time told_at;     // when it told that, by its own report or by way of others
-    mono_time reported_at; // its own report
-    mono_time heard_at;    // by anybody
+    mono_time as_of;        // when the daemon made the statement, received directly or relayed
+    mono_time reported_at;  // last direct report
+    mono_time last_seen_at; // last time that any daemon saw it
   };
 
   peer_table_options options_;
   std::map<daemon_id, entry> peers_;
-  std::set<http::socket_address> unnamed_;
+  std::set<http::socket_address> unidentified_;
 };
 
 } // namespace wisteriaflow::gateway
--- a/include/wisteriaflow/gateway/rollout.h
+++ b/include/wisteriaflow/gateway/rollout.h
@@ -1,8 +1,10 @@
-// Operators' orders to move a service's traffic to another version, and how far each has come.
+// Operators' orders to move a service's traffic to another version (roll-outs), and the progress of
+// each.
 //
-// Daemons tell each other what they know of each order, and join it: the same order's news by the
-// phase that is furthest, another order's by the revision at which the store held it. So news may
-// come late, twice and by any way, and every daemon ends with the same.
+// Daemons exchange what they know of each order and merge it: updates of the same order by the
+// phase that is furthest, updates of different orders by the store revision at which each was seen.
+// Updates may therefore arrive late, twice and on any path, and all daemons converge to the same
+// state.
 
 #ifndef WISTERIAFLOW_GATEWAY_ROLLOUT_H_
 #define WISTERIAFLOW_GATEWAY_ROLLOUT_H_
@@ -18,12 +20,12 @@
 
 namespace wisteriaflow::gateway {
 
-// In the order in which news of the same order win.
+// Phases in the order of precedence: when updates of one order are merged, the later value wins.
 enum class rollout_phase {
-  trial,       // the target gets a bounded part of the calls
-  moving,      // all calls go over to the target
-  rolled_back, // the target is bad: it gets nothing any more
-  succeeded,   // the store holds that it is done, and the old version's endpoints are stopped
+  trial,       // the target gets a bounded fraction of the calls
+  moving,      // all calls move to the target, gradually
+  rolled_back, // the target is worse: it gets no more calls
+  succeeded,   // the store records the success, and the endpoints of the old version are stopped
 };
 
 [[nodiscard]] std::string_view to_string(rollout_phase phase);
@@ -31,75 +33,80 @@
 // One order for one service.
 struct rollout {
   std::string service;
-  std::uint64_t order = 0;    // the same for all that is known of one order
-  std::uint64_t revision = 0; // of the store, the latest at which the order was seen there
-  std::string target;         // the version that the traffic is to move to
-  wall_time ordered_at;       // when the first daemon noticed it
-  wall_time deadline;         // by which it should have succeeded or been rolled back
+  std::uint64_t order = 0;    // identifies the order; see order_id
+  std::uint64_t revision = 0; // latest store revision at which the order was seen
+  std::string target;         // the version that the traffic moves to
+  wall_time ordered_at;       // when the first daemon saw the order
+  wall_time deadline;         // by when it should have succeeded or been rolled back
   rollout_phase phase = rollout_phase::trial;
-  // While moving: the part of the calls that goes to the target grows from none to all of them.
-  wall_time moves_from;
-  wall_time moved_by;
-  std::string reason; // of the phase, for operators
+  // Interval of the move in phase `moving`: the fraction of the calls that goes to the target grows
+  // from 0 to 1.
+  wall_time move_starts_at;
+  wall_time move_ends_at;
+  std::string reason; // why the order is in this phase, for operators
 
-  // Part of the calls that have gone over at `now`, from 0 to 1.
-  [[nodiscard]] double moved_part(wall_time now) const;
+  // Fraction of the calls that have moved to the target at `now`, from 0 to 1. It is 0 during the
+  // trial.
+  [[nodiscard]] double moved_fraction(wall_time now) const;
 
   friend bool operator==(const rollout&, const rollout&) = default;
 };
 
-// What both know of the same order, or the newer one of two orders.
-[[nodiscard]] rollout joined(const rollout& a, const rollout& b);
+// Merges two states of the same order. Of two different orders, returns the one with the higher
+// revision.
+[[nodiscard]] rollout merged(const rollout& a, const rollout& b);
 
-// What an order comes to be called by everybody: differs for an order that is placed again.
+// Returns an id on which all daemons agree. `placement` differs when the same order is placed
+// again.
 [[nodiscard]] std::uint64_t order_id(std::string_view service, std::string_view target,
-                                     std::string_view placed);
+                                     std::string_view placement);
 
-// All orders that are known, the latest of each service, and the versions that earlier ones left
-// behind.
+// All known orders, the latest of each service, and the versions that earlier orders left refused.
 //
 // Not thread-safe.
-class rollout_book {
+class rollout_registry {
  public:
-  // A version that got no traffic any more as of an order at `revision`.
+  // Versions that get no more traffic, each with the store revision of the order that caused it.
   using refused_versions = std::map<std::string, std::uint64_t, std::less<>>;
 
   struct entry {
     rollout latest;
-    refused_versions refused; // by earlier orders
+    refused_versions refused; // because of earlier orders
 
     friend bool operator==(const entry&, const entry&) = default;
   };
 
   using entries = std::map<std::string, entry, std::less<>>; // by service
 
-  // What the store or this daemon's own judgement says. True if that is news.
-  bool note(const rollout& told);
+  // Merges an order as the store holds it or as this daemon decided. Returns true if anything
+  // changed.
+  bool update(const rollout& order);
 
-  // Joins what a peer knows. True if any of it is news.
-  bool absorb(const entries& told);
+  // Merges the state of a peer. Returns true if anything changed.
+  bool merge(const entries& updates);
 
-  // The operator has withdrawn the order as of `revision`: an unfinished one is rolled back. True
-  // if that is news.
+  // Records that the operator withdrew the order as of `revision`: an open order is rolled back.
+  // Returns true if anything changed.
   bool withdraw(std::string_view service, std::uint64_t revision);
 
   [[nodiscard]] const rollout* find(std::string_view service) const;
   [[nodiscard]] const entries& all() const { return entries_; }
 
-  // Whether calls may go to `version` of the service as things stand, but for those on trial.
+  // Whether regular calls must not go to `version` of the service. Calls on trial are not
+  // considered.
   [[nodiscard]] bool is_refused(std::string_view service, std::string_view version) const;
 
  private:
-  bool join(const entry& told);
+  bool merge_entry(const entry& update);
 
   entries entries_;
 };
 
-// Whether endpoints of `version` carry the service's traffic, but for calls on trial. While it
-// moves, the target's do.
+// Whether endpoints of `version` carry the service's regular traffic, which excludes calls on
+// trial. While the order is moving, those of the target do.
 [[nodiscard]] bool carries_traffic(const rollout& r, std::string_view version);
 
-// Whether an order is still to be brought to an end.
+// Whether the order has neither succeeded nor been rolled back.
 [[nodiscard]] bool is_open(const rollout& r);
 
 } // namespace wisteriaflow::gateway
--- a/include/wisteriaflow/gateway/rollout_conductor.h
+++ b/include/wisteriaflow/gateway/rollout_conductor.h
@@ -1,8 +1,8 @@
-// Decides how an open order goes on, from what the fleet has counted.
+// Decides when an open roll-out advances or is rolled back, from the counts of the whole fleet.
 //
-// Any daemon that leads may stop a bad version; the one that holds the duties alone moves traffic
-// over and says that an order has succeeded. On success the old version's endpoints are stopped
-// without notice, so it waits until no daemon has a call there.
+// Any coordinator may roll back a bad version. Only the leader, which holds the fleet lease, moves
+// traffic and declares an order successful. On success the endpoints of the old version are stopped
+// without notice, so this waits until no daemon has a call there.
 
 #ifndef WISTERIAFLOW_GATEWAY_ROLLOUT_CONDUCTOR_H_
 #define WISTERIAFLOW_GATEWAY_ROLLOUT_CONDUCTOR_H_
@@ -23,64 +23,66 @@
 
 namespace wisteriaflow::gateway {
 
-struct rollout_conductor_options {
-  // How long the traffic takes to go over: prefixes are read again by the target little by little,
-  // and badness that only load brings out shows before all is there.
-  std::chrono::milliseconds ramp{2'000};
-  double ramp_part = 0.1; // of an order's time, at most
-  // What calls at the old endpoints are given to end, and daemons to say that they have none.
-  std::chrono::milliseconds settling{7'500};
-  double settling_part = 0.4;
-  // Calls of the target that must have ended before all traffic moves, unless time is up.
-  std::uint64_t fewest_calls = 30;
-  // Part of the present endpoints' number that the target must have for all traffic.
-  double fewest_endpoints = 0.7;
+struct rollout_controller_options {
+  // Duration of the move. It is gradual because the target has to compute prompt prefixes again
+  // that the old endpoints had cached, and because a defect that only shows under load appears
+  // before all traffic has moved.
+  std::chrono::milliseconds ramp_time{2'000};
+  double max_ramp_fraction = 0.1; // upper limit, as a fraction of the order's time
+  // Time for calls at the old endpoints to end and for daemons to report that they have none.
+  std::chrono::milliseconds settling_time{7'500};
+  double max_settling_fraction = 0.4; // upper limit, as a fraction of the order's time
+  // Calls that must have ended at the target before all traffic moves, unless the deadline has
+  // passed.
+  std::uint64_t min_target_calls = 30;
+  // Minimum number of target endpoints for all traffic, as a fraction of the baseline's endpoints.
+  double min_endpoint_ratio = 0.7;
 };
 
-// The fleet as one daemon sees it, this one included.
-struct fleet_standing {
+// The fleet as seen by one daemon, this daemon included.
+struct fleet_status {
   std::vector<daemon_id> live;
-  bool some_silent = false; // daemons that may be sending and are not heard
+  bool has_silent_daemons = false; // daemons that may be sending but are not live
 
-  friend bool operator==(const fleet_standing&, const fleet_standing&) = default;
+  friend bool operator==(const fleet_status&, const fleet_status&) = default;
 };
 
-// Endpoints that take calls, by version.
-struct version_endpoints {
-  std::size_t present = 0;
+// Number of endpoints that accept calls, by version.
+struct version_endpoint_counts {
+  std::size_t baseline = 0;
   std::size_t target = 0;
 
-  friend bool operator==(const version_endpoints&, const version_endpoints&) = default;
+  friend bool operator==(const version_endpoint_counts&, const version_endpoint_counts&) = default;
 };
 
 // Not thread-safe.
-class rollout_conductor {
+class rollout_controller {
  public:
-  explicit rollout_conductor(rollout_conductor_options options) : options_(options) {}
+  explicit rollout_controller(rollout_controller_options options) : options_(options) {}
 
-  // Takes in the fleet's counts. Call about once a second in a daemon that leads. Returns the order
-  // rolled back if its target turns out to be bad.
-  [[nodiscard]] std::optional<rollout> stop_if_bad(const rollout& order, const rollout_rows& rows,
-                                                   const clock_reading& now);
+  // Adds the fleet's counts. Call about once per second in a coordinator. Returns the order as
+  // rolled back if its target is found to be bad.
+  [[nodiscard]] std::optional<rollout>
+  roll_back_if_bad(const rollout& order, const rollout_rows& rows, const clock_reading& now);
 
-  // For the daemon that holds the duties: the order in its next phase, if it is time.
+  // For the leader: returns the order in its next phase if it is time to advance.
   [[nodiscard]] std::optional<rollout> next_phase(const rollout& order, const rollout_rows& rows,
-                                                  const version_endpoints& endpoints,
+                                                  const version_endpoint_counts& endpoints,
                                                   wall_time now) const;
 
-  // For the same: whether nothing is left at the old endpoints, so that they may be stopped.
+  // For the leader: whether the old endpoints have no calls left, so that they may be stopped.
   [[nodiscard]] bool is_complete(const rollout& order, const rollout_rows& rows,
-                                 const fleet_standing& fleet, wall_time now) const;
+                                 const fleet_status& fleet, wall_time now) const;
 
-  // Forgets the orders that have ended.
-  void retain(const rollout_book& book);
+  // Drops the state of orders that are no longer open.
+  void retain(const rollout_registry& registry);
 
  private:
   [[nodiscard]] bool is_time_to_move(const rollout& order, wall_time now) const;
   [[nodiscard]] bool is_suspicious(const rollout& order) const;
 
-  rollout_conductor_options options_;
-  std::map<std::uint64_t, version_judge> judges_; // by order
+  rollout_controller_options options_;
+  std::map<std::uint64_t, version_evaluator> evaluators_; // by order id
 };
 
 } // namespace wisteriaflow::gateway
--- a/include/wisteriaflow/gateway/usage_counts.h
+++ b/include/wisteriaflow/gateway/usage_counts.h
@@ -1,7 +1,8 @@
-// Requests that began to run, counted by workspace and window of wall-clock time over the fleet.
+// Counts of requests that started to run, by workspace and window of wall-clock time, over the
+// whole fleet.
 //
-// Every daemon counts its own and passes its counts, and those of daemons that fell silent, to its
-// peers. Counts only grow, so that late and doubled messages do no harm.
+// Every daemon counts its own requests and sends its counts, and those of daemons that became
+// silent, to its peers. Counts only grow, so late and duplicate messages do no harm.
 
 #ifndef WISTERIAFLOW_GATEWAY_USAGE_COUNTS_H_
 #define WISTERIAFLOW_GATEWAY_USAGE_COUNTS_H_
@@ -20,12 +21,12 @@
 
 namespace wisteriaflow::gateway {
 
-// Number of a window: window k begins k times the window's length after the Unix epoch.
+// Number of a window: window k begins k window lengths after the Unix epoch.
 using usage_window = std::uint64_t;
 
 using window_counts = std::map<workspace_id, std::uint64_t>;
 
-// One incarnation of a daemon; a restart counts from zero again.
+// One incarnation of a daemon. A restarted daemon counts from zero under a new incarnation.
 struct usage_source {
   daemon_id daemon;
   std::uint64_t incarnation = 0;
@@ -34,7 +35,7 @@
                           const usage_source&) = default; // NOLINT(modernize-use-nullptr)
 };
 
-// What one source counted in one window.
+// The counts of one source in one window.
 struct usage_row {
   usage_source source;
   usage_window window = 0;
@@ -46,37 +47,38 @@
 // Not thread-safe.
 class usage_counts {
  public:
-  usage_counts(usage_source self, std::chrono::milliseconds window_length, usage_window kept);
+  usage_counts(usage_source self, std::chrono::milliseconds window_length,
+               usage_window retained_windows);
 
   [[nodiscard]] usage_window window_at(wall_time t) const;
-  // When `window` ends.
+  // End of `window`.
   [[nodiscard]] wall_time end_of(usage_window window) const;
 
-  // A request of `workspace` began to run.
-  void began(const workspace_id& workspace, wall_time at);
+  // Counts a request of `workspace` that started to run.
+  void record_start(const workspace_id& workspace, wall_time at);
 
-  // Joins a peer's row.
-  void absorb(const usage_row& row);
+  // Merges the row of a peer: the higher count of each workspace stays.
+  void merge(const usage_row& row);
 
-  // Rows to tell a peer: this daemon's own, and of those of the sources that `is_silent` names up
-  // to `most_of_others`, others at each call in turn. When half of a fleet of 195 dies at once, all
-  // of theirs would be 300 rows in every report; in turn each report stays
-  // small, and whoever reports the usage hears of them all from many.
-  [[nodiscard]] std::vector<usage_row> rows(const std::function<bool(const daemon_id&)>& is_silent,
-                                            std::size_t most_of_others);
+  // Returns the rows to send to a peer: all rows of this daemon, and up to `max_relayed` rows of
+  // the sources that `is_silent` selects, in rotation over the calls. When half of a fleet of 195
+  // daemons stops at once, their rows would add 300 rows to every report. With the rotation each
+  // report stays small, and the daemon that reports the usage receives all rows from many peers.
+  [[nodiscard]] std::vector<usage_row>
+  rows_for_peer(const std::function<bool(const daemon_id&)>& is_silent, std::size_t max_relayed);
 
-  // The fleet's counts in `window`, as far as they were heard of.
+  // The fleet's counts in `window`, as far as they have arrived.
   [[nodiscard]] window_counts total(usage_window window) const;
 
-  // Forgets windows that ended long before `now`.
+  // Drops windows that ended long before `now`.
   void forget_old(wall_time now);
 
  private:
   usage_source self_;
   std::chrono::milliseconds window_length_;
-  usage_window kept_;
+  usage_window retained_windows_;
   std::map<usage_window, std::map<usage_source, window_counts>> windows_;
-  std::size_t next_of_others_ = 0; // row to tell
+  std::size_t next_relayed_row_ = 0; // next row of a silent source to send
 };
 
 } // namespace wisteriaflow::gateway
--- a/include/wisteriaflow/gateway/version_gate.h
+++ b/include/wisteriaflow/gateway/version_gate.h
@@ -1,9 +1,9 @@
-// Whether an endpoint may be used, by its version.
+// Decides by its version whether an endpoint may be used.
 //
-// Endpoints of a new version are started as soon as its roll-out is ordered, and the store may show
-// them to a daemon before the order. So a version that was never seen of a service is used only
-// once the orders are known as of a revision at which the endpoint was there: if none names the
-// version, it needs no trial.
+// Endpoints of a new version start as soon as its roll-out is ordered, and the store may show them
+// to a daemon before it shows the order. A version of a service that is new to this daemon is
+// therefore used only once the orders are known up to a store revision at which the endpoint
+// existed. If no order names the version by then, it needs no trial.
 
 #ifndef WISTERIAFLOW_GATEWAY_VERSION_GATE_H_
 #define WISTERIAFLOW_GATEWAY_VERSION_GATE_H_
@@ -18,33 +18,36 @@
 
 namespace wisteriaflow::gateway {
 
-// An endpoint as far as its version matters.
+// The properties of an endpoint that the gate uses.
 struct versioned_endpoint {
   std::string_view service;
-  std::string_view version;   // empty: not told
-  std::uint64_t revision = 0; // of the store, at which this was true
+  std::string_view version;   // empty: not stated
+  std::uint64_t revision = 0; // store revision at which this state was read
 };
 
 // Not thread-safe.
 class version_gate {
  public:
-  // Without roll-outs every version is used.
+  // If not enabled, every version is used.
   explicit version_gate(bool enabled) : enabled_(enabled) {}
 
-  // All orders up to this revision of the store are in the book.
-  void set_known_up_to(std::uint64_t revision);
-  [[nodiscard]] std::uint64_t known_up_to() const { return known_up_to_; }
+  // All orders up to this store revision are in the registry.
+  void set_rollouts_revision(std::uint64_t revision);
+  [[nodiscard]] std::uint64_t rollouts_revision() const { return rollouts_revision_; }
 
-  [[nodiscard]] bool is_usable(const versioned_endpoint& endpoint, const rollout_book& book);
+  // Whether calls may be sent to `endpoint`.
+  [[nodiscard]] bool is_usable(const versioned_endpoint& endpoint,
+                               const rollout_registry& registry);
 
-  // Whether an endpoint waits for the orders to be known as of a later revision.
-  [[nodiscard]] bool is_behind() const { return wanted_ > known_up_to_; }
+  // Whether an endpoint waits until the orders are known up to a later revision.
+  [[nodiscard]] bool awaits_rollouts() const { return awaited_revision_ > rollouts_revision_; }
 
  private:
   bool enabled_;
-  std::uint64_t known_up_to_ = 0;
-  std::uint64_t wanted_ = 0;                                                    // revision
-  std::map<std::string, std::set<std::string, std::less<>>, std::less<>> seen_; // by service
+  std::uint64_t rollouts_revision_ = 0;
+  std::uint64_t awaited_revision_ = 0; // store revision
+  // Versions found usable, by service.
+  std::map<std::string, std::set<std::string, std::less<>>, std::less<>> accepted_versions_;
 };
 
 } // namespace wisteriaflow::gateway
--- a/include/wisteriaflow/gateway/version_traffic.h
+++ b/include/wisteriaflow/gateway/version_traffic.h
@@ -1,14 +1,15 @@
-// Which version of a service a call goes to while a roll-out is under way, and how it fares there.
+// Chooses the version of a service that a call goes to while a roll-out is open, and counts the
+// outcomes.
 //
-// On trial the target gets a fixed part of this daemon's own calls of each route and no more. The
-// parts of all daemons add up to no more than the same part of the fleet's calls, whoever joins,
-// dies or is cut off, so nobody has to be asked for a single call.
+// During the trial the target gets a fixed fraction of this daemon's own calls of each route and no
+// more. The fractions of all daemons add up to no more than the same fraction of the fleet's calls,
+// whichever daemons join, stop or are partitioned, so no coordination is needed for a single call.
 //
-//   version_traffic traffic({.source = self, .target_part = 0.08});
-//   traffic.follow(book, now);                                   // when the book has news
-//   const auto lane = traffic.lane_of({.service = s, .route = r}, now);
-//   traffic.on_sent({.service = s, .route = r, .version = chosen.version});
-//   traffic.on_ended({... the same ..., .failed = true});
+//   traffic_splitter splitter({.source = self, .target_fraction = 0.08});
+//   splitter.update_orders(registry);                           // when the registry has changed
+//   const auto selection = splitter.select({.service = s, .route = r}, false, now);
+//   splitter.on_sent({.service = s, .route = r, .version = chosen.version});
+//   splitter.on_ended({... the same ...}, {.is_counted = true, .failed = true});
 
 #ifndef WISTERIAFLOW_GATEWAY_VERSION_TRAFFIC_H_
 #define WISTERIAFLOW_GATEWAY_VERSION_TRAFFIC_H_
@@ -30,85 +31,88 @@
 namespace wisteriaflow::gateway {
 
 // The endpoints of a service that a call may go to.
-struct version_lane {
-  enum class side {
-    any,     // no roll-out is under way
-    present, // all but those of the target
-    trial,   // a few of the target
-    target,  // all of the target
+struct version_selection {
+  enum class subset {
+    any,      // no roll-out is open
+    baseline, // all endpoints except those of the target
+    trial,    // a few endpoints of the target
+    target,   // all endpoints of the target
   };
 
-  side at = side::any;
-  std::string_view target; // version; empty for any
-  // On trial: decides which few, the same in all daemons, and their part of the present ones'
-  // number.
-  std::uint64_t drawn_by = 0;
-  double target_part = 0;
+  subset endpoints = subset::any;
+  std::string_view target; // version; empty for `any`
+  // For `trial`: the seed that selects the endpoints, the same in all daemons, and their number as
+  // a fraction of the number of baseline endpoints.
+  std::uint64_t trial_seed = 0;
+  double target_fraction = 0;
 
-  friend bool operator==(const version_lane&, const version_lane&) = default;
+  friend bool operator==(const version_selection&, const version_selection&) = default;
 };
 
 // A call before its endpoint is chosen.
-struct call_to_place {
+struct pending_call {
   std::string_view service;
   std::string_view route;
-  std::uint64_t key = 0; // equal for calls that should move together: those that share a prefix
+  // Calls with equal keys move together: those that share a prompt prefix.
+  std::uint64_t affinity_key = 0;
 };
 
 // An attempt at an endpoint.
-struct placed_call {
+struct call_attempt {
   std::string service;
   std::string route;
   std::string version; // of the endpoint
   endpoint_id endpoint;
 };
 
-// How one ended, as far as it tells anything of the version.
+// The outcome of an attempt, as far as it is evidence about the version.
 struct call_outcome {
-  bool counts = false; // it ran, at an endpoint that was neither leaving nor starting
+  bool is_counted = false; // the call ran at an endpoint that was neither draining nor starting
   bool failed = false;
-  std::optional<double> first_seconds; // to the first event or the answer, for what was to be done
-  std::optional<double> event_seconds; // from one event to the next, on the mean
+  // Time until the first event or the answer, relative to the work of the call.
+  std::optional<double> first_event_seconds;
+  std::optional<double> event_gap_seconds; // mean time between two events
 };
 
-struct version_traffic_options {
+struct traffic_splitter_options {
   usage_source source;
-  // Part of each route's calls that go to a target on trial.
-  double target_part = 0.08;
-  // Calls beyond that part, of this daemon, for services with few calls.
-  double beyond_part = 0;
-  // Which endpoints are on trial changes after this. They are as few as carry the load of the
-  // present ones, so that badness under load shows, and change, so that an ill one is told from a
-  // bad version.
+  // Fraction of each route's calls that go to a target on trial.
+  double target_fraction = 0.08;
+  // Calls of this daemon to the target beyond that fraction, for services with few calls.
+  double extra_calls = 0;
+  // The endpoints on trial change after this time. They are so few that each carries the
+  // load of a baseline endpoint, which shows faults that occur under load, and they change so that
+  // a faulty endpoint can be distinguished from a bad version.
   std::chrono::milliseconds trial_period{4'000};
 };
 
 // Not thread-safe.
-class version_traffic {
+class traffic_splitter {
  public:
-  explicit version_traffic(version_traffic_options options) : options_(std::move(options)) {}
+  explicit traffic_splitter(traffic_splitter_options options) : options_(std::move(options)) {}
 
-  // Takes up the orders that are open and drops those that have ended.
-  void follow(const rollout_book& book);
+  // Starts tracking new open orders and drops those that have ended.
+  void update_orders(const rollout_registry& registry);
 
-  // The fleet's daemons share `calls` beyond the part.
-  void set_beyond_part(double calls) { options_.beyond_part = calls; }
+  // Sets this daemon's share of the calls that the fleet may send beyond the fraction.
+  void set_extra_calls(double calls) { options_.extra_calls = calls; }
 
-  // Whether a roll-out of the service is under way.
+  // Whether a roll-out of the service is open.
   [[nodiscard]] bool is_open(std::string_view service) const { return open_.contains(service); }
 
-  // Where a new call goes. A call that is sent again after an attempt goes to the present version
-  // as long as there is a choice.
-  [[nodiscard]] version_lane lane_of(const call_to_place& call, bool is_repeat,
-                                     wall_time now) const;
+  // Selects the endpoints for a new call. A call that is sent again (`is_repeat`) goes to the
+  // baseline version during a trial.
+  [[nodiscard]] version_selection select(const pending_call& call, bool is_repeat,
+                                         wall_time now) const;
 
-  void on_sent(const placed_call& call);
-  void on_ended(const placed_call& call, const call_outcome& outcome);
+  // Record the start and the end of an attempt. Call each once per attempt.
+  void on_sent(const call_attempt& call);
+  void on_ended(const call_attempt& call, const call_outcome& outcome);
 
-  // What this daemon tells of the orders that are open.
+  // Rows of the open orders, for the report to the peers.
   [[nodiscard]] std::vector<rollout_row> rows(wall_time now) const;
 
-  // Calls sent to the target, and in all, of an open order; for operators.
+  // Calls of an open order, in all and to the target; for operators.
   struct exposure {
     std::uint64_t calls = 0;
     std::uint64_t to_target = 0;
@@ -118,7 +122,7 @@
   [[nodiscard]] exposure exposure_of(std::string_view service) const;
 
  private:
-  // What calls of a route take.
+  // Usual durations of a route's calls.
   struct route_pace {
     pace_limit first;
     pace_limit event;
@@ -130,17 +134,19 @@
     rollout_row row;
   };
 
-  // Whether the route's target may get one more call.
-  [[nodiscard]] bool has_room(const order_state& it, std::string_view route) const;
-  // Whether the call was slow; one of the present version tells what is.
-  static bool compare(route_pace& pace, const call_outcome& outcome, bool is_present);
+  // Whether the target may get one more call of the route.
+  [[nodiscard]] bool may_send_to_target(const order_state& it, std::string_view route) const;
+  // Returns whether the call was slow. Calls of the baseline version set the usual duration.
+  static bool record_pace(route_pace& pace, const call_outcome& outcome, bool is_baseline);
 
-  version_traffic_options options_;
+  traffic_splitter_options options_;
   std::map<std::string, order_state, std::less<>> open_; // by service
-  // By service and route, kept whether an order is open or not, so that it is known when one comes.
+  // By service and route. Recorded even if no order is open, so that the usual durations are known
+  // when an order starts.
   std::map<std::string, std::map<std::string, route_pace>> paces_;
-  // Attempts under way by service and version, whether an order is open or not: one may come.
-  std::map<std::string, std::map<std::string, std::uint64_t>, std::less<>> under_way_;
+  // Running attempts by service and version. Counted even if no order is open, because one may
+  // start.
+  std::map<std::string, std::map<std::string, std::uint64_t>, std::less<>> calls_in_flight_;
 };
 
 } // namespace wisteriaflow::gateway
--- a/src/gateway/caller_addresses.cc
+++ b/src/gateway/caller_addresses.cc
@@ -35,21 +35,22 @@
 
 std::vector<http::socket_address> addresses_for_callers(const availability_zone& zone,
                                                         std::span<const daemon_contact> daemons,
-                                                        std::size_t most)
+                                                        std::size_t max_addresses)
 {
   auto ranked = ranked_for(zone, daemons);
-  const auto is_near = [&zone](const ranked_daemon& r) { return r.contact->zone == zone; };
-  const auto others = std::stable_partition(ranked.begin(), ranked.end(), is_near);
-  const auto near_count = static_cast<std::size_t>(others - ranked.begin());
-  const auto other_count = ranked.size() - near_count;
-  const auto from_others = std::min(other_count, most - std::min(near_count, most / 2));
-  const auto from_near = std::min(near_count, most - from_others);
+  const auto is_same_zone = [&zone](const ranked_daemon& r) { return r.contact->zone == zone; };
+  const auto others = std::stable_partition(ranked.begin(), ranked.end(), is_same_zone);
+  const auto same_zone_count = static_cast<std::size_t>(others - ranked.begin());
+  const auto other_zone_count = ranked.size() - same_zone_count;
+  const auto from_others =
+      std::min(other_zone_count, max_addresses - std::min(same_zone_count, max_addresses / 2));
+  const auto from_same_zone = std::min(same_zone_count, max_addresses - from_others);
   std::vector<http::socket_address> out;
-  for (std::size_t i = 0; i < from_near; ++i) {
+  for (std::size_t i = 0; i < from_same_zone; ++i) {
     out.push_back(ranked[i].contact->caller_address);
   }
   for (std::size_t i = 0; i < from_others; ++i) {
-    out.push_back(ranked[near_count + i].contact->caller_address);
+    out.push_back(ranked[same_zone_count + i].contact->caller_address);
   }
   return out;
 }
--- a/src/gateway/configuration.cc
+++ b/src/gateway/configuration.cc
@@ -41,8 +41,8 @@
   if (of_host == by_host_.end()) {
     return nullptr;
   }
-  const auto begins = [path](const route* r) { return path.starts_with(r->path_prefix); };
-  const auto it = std::find_if(of_host->second.begin(), of_host->second.end(), begins);
+  const auto is_prefix = [path](const route* r) { return path.starts_with(r->path_prefix); };
+  const auto it = std::find_if(of_host->second.begin(), of_host->second.end(), is_prefix);
   return it == of_host->second.end() ? nullptr : *it;
 }
 
--- a/src/gateway/demand_meter.cc
+++ b/src/gateway/demand_meter.cc
@@ -28,18 +28,19 @@
   ++prompts_sent_;
 }
 
-// Only a large prompt that met no queue tells the engine's speed: in a small one the time is mostly
-// that of the way and of a step. Even so most samples are too low, since other work shares the
-// engine, and a few too high, where more was cached than is known here: an upper quantile is taken,
-// by stochastic approximation.
+// Only a large prompt that met no queue measures the engine's speed: for a small one the time
+// consists mostly of network latency and of one engine step. Even then most samples are too low,
+// because other work shares the engine, and a few are too high, because more of the prompt was
+// cached than this daemon knows. The estimate is therefore an upper quantile, tracked by stochastic
+// approximation.
 void demand_meter::on_first_token(std::string_view service, const routing::sent_work& work,
                                   mono_time now)
 {
-  constexpr int fewest_tokens = 3'000;
+  constexpr int min_tokens = 3'000;
   constexpr double quantile = 0.75;
-  constexpr double step = 0.06; // of the present estimate
+  constexpr double step = 0.06; // of the current estimate
   const double elapsed = seconds(now - work.sent_at);
-  if (!work.found_idle || work.prefill_tokens < fewest_tokens || elapsed <= 0) {
+  if (!work.found_idle || work.prefill_tokens < min_tokens || elapsed <= 0) {
     return;
   }
   auto& speed = state_of(service).speed;
@@ -50,18 +51,18 @@
 double demand_meter::smoothing_seconds(std::size_t daemons) const
 {
   const double fleet_rate = prompt_rate_ * static_cast<double>(daemons);
-  return std::clamp(options_.smoothed_prompts / std::max(fleet_rate, 1.0),
-                    seconds(options_.shortest_smoothing), seconds(options_.longest_smoothing));
+  return std::clamp(options_.prompts_per_smoothing_time / std::max(fleet_rate, 1.0),
+                    seconds(options_.min_smoothing_time), seconds(options_.max_smoothing_time));
 }
 
-void demand_meter::refresh(std::size_t daemons, mono_time now)
+void demand_meter::update_rates(std::size_t daemons, mono_time now)
 {
-  const double elapsed = refreshed_at_ ? seconds(now - *refreshed_at_) : 0;
-  refreshed_at_ = now;
+  const double elapsed = updated_at_ ? seconds(now - *updated_at_) : 0;
+  updated_at_ = now;
   if (elapsed <= 0) {
     return;
   }
-  const double rate_kept = std::exp(-elapsed / seconds(options_.longest_smoothing));
+  const double rate_kept = std::exp(-elapsed / seconds(options_.max_smoothing_time));
   prompt_rate_ = rate_kept * prompt_rate_ + (1 - rate_kept) * prompts_sent_ / elapsed;
   prompts_sent_ = 0;
   const double kept = std::exp(-elapsed / smoothing_seconds(daemons));
@@ -75,11 +76,11 @@
 {
   const auto it = services_.find(service);
   const double speed = it == services_.end() ? options_.initial_speed : it->second.speed;
-  const double beyond =
-      std::max(0.0, demand.waiting - demand.sent * seconds(options_.ordinary_wait));
-  const double backlog =
-      std::min(beyond / seconds(options_.drain_time), options_.most_backlog * demand.sent);
-  return (demand.sent + backlog) / speed;
+  const double excess_tokens = std::max(
+      0.0, demand.waiting_tokens - demand.tokens_per_second * seconds(options_.normal_wait));
+  const double backlog = std::min(excess_tokens / seconds(options_.drain_time),
+                                  options_.max_backlog_ratio * demand.tokens_per_second);
+  return (demand.tokens_per_second + backlog) / speed;
 }
 
 } // namespace wisteriaflow::gateway
--- a/src/gateway/endpoint_pool.cc
+++ b/src/gateway/endpoint_pool.cc
@@ -51,7 +51,7 @@
   }
   if (known != records_.end() && is_restart(process_of(known->second), process_of(changed))) {
     // Nothing that was believed or counted of the process before holds for this one.
-    peers_.forget(changed.id);
+    peers_.forget_endpoint(changed.id);
     terms_.forget(changed.id);
     erase(changed.id);
   }
@@ -313,10 +313,10 @@
 void endpoint_pool::refresh_loads(mono_time now)
 {
   peers_.expire(now);
-  meter_.refresh(live_daemons(), now);
+  meter_.update_rates(live_daemons(), now);
   for (const auto& [id, r] : records_) {
     const auto own = own_work_at(id);
-    const auto peers = peers_.at(id);
+    const auto peers = peers_.total_at(id);
     table_.on_report(*table_.find(id),
                      {.running = static_cast<int>(own.running + peers.running),
                       .waiting = static_cast<int>(own.waiting + peers.waiting),
@@ -334,12 +334,12 @@
 double endpoint_pool::busy_endpoints(std::string_view service, mono_time now)
 {
   peers_.expire(now);
-  const auto own = meter_.own().find(service);
-  fleet_demand demand{.sent = peers_.prefill(service)};
-  demand.sent += own == meter_.own().end() ? 0 : own->second;
+  const auto own = meter_.local_rates().find(service);
+  fleet_demand demand{.tokens_per_second = peers_.total_prefill(service)};
+  demand.tokens_per_second += own == meter_.local_rates().end() ? 0 : own->second;
   for (const auto* r : serving(service)) {
-    demand.waiting +=
-        static_cast<double>(own_work_at(r->id).waiting_tokens + peers_.at(r->id).waiting_tokens);
+    demand.waiting_tokens += static_cast<double>(own_work_at(r->id).waiting_tokens +
+                                                 peers_.total_at(r->id).waiting_tokens);
   }
   return meter_.busy_endpoints(service, demand);
 }
--- a/src/gateway/endpoint_pool_choice.cc
+++ b/src/gateway/endpoint_pool_choice.cc
@@ -20,15 +20,15 @@
 }
 
 // Whether the endpoint is one of those that the call may go to by their version.
-bool is_in(const version_lane& lane, const endpoint_record& r)
+bool is_in(const version_selection& lane, const endpoint_record& r)
 {
-  switch (lane.at) {
-  case version_lane::side::any:
+  switch (lane.endpoints) {
+  case version_selection::subset::any:
     return true;
-  case version_lane::side::present:
+  case version_selection::subset::baseline:
     return r.version != lane.target;
-  case version_lane::side::trial:
-  case version_lane::side::target:
+  case version_selection::subset::trial:
+  case version_selection::subset::target:
     return r.version == lane.target;
   }
   return true;
@@ -44,7 +44,7 @@
 bool endpoint_pool::is_left_out(routing::endpoint_slot slot, mono_time now) const
 {
   const auto& id = table_.at(slot).description.id;
-  return now < left_out_until(slot) || peers_.at(id).unreachable >= options_.peers_believed;
+  return now < left_out_until(slot) || peers_.total_at(id).unreachable >= options_.peers_believed;
 }
 
 endpoint_pool::candidates endpoint_pool::candidates_for(const endpoint_wish& wish,
@@ -74,7 +74,7 @@
     std::sort(out.open.begin(), out.open.end());
     out.left_out.clear();
   }
-  if (wish.lane.at == version_lane::side::trial) {
+  if (wish.lane.endpoints == version_selection::subset::trial) {
     keep_on_trial(wish, out.open);
   }
   return out;
@@ -84,14 +84,14 @@
                                   std::vector<routing::endpoint_slot>& open) const
 {
   const auto score = [&](routing::endpoint_slot slot) {
-    return rendezvous_score(wish.lane.drawn_by, table_.at(slot).description.id.value());
+    return rendezvous_score(wish.lane.trial_seed, table_.at(slot).description.id.value());
   };
   const auto all = serving(wish.service);
   const auto present = std::count_if(all.begin(), all.end(), [&](const endpoint_record* r) {
     return r->version != wish.lane.target;
   });
   const auto wanted =
-      static_cast<std::size_t>(std::ceil(wish.lane.target_part * static_cast<double>(present)));
+      static_cast<std::size_t>(std::ceil(wish.lane.target_fraction * static_cast<double>(present)));
   const auto number = std::min(open.size(), std::max<std::size_t>(1, wanted));
   std::sort(open.begin(), open.end(), [&](auto a, auto b) { return score(a) > score(b); });
   open.resize(number);
--- a/src/gateway/fleet_clock.cc
+++ b/src/gateway/fleet_clock.cc
@@ -16,7 +16,7 @@
 
 void fleet_clock::on_reading(const daemon_id& peer, wall_time wall, mono_time now)
 {
-  readings_[peer] = {.offset = offset_of(wall, now), .valid_until = now + reading_valid_};
+  readings_[peer] = {.offset = offset_of(wall, now), .valid_until = now + reading_ttl_};
 }
 
 wall_time fleet_clock::now(const clock_reading& own) const
@@ -27,11 +27,11 @@
       offsets.push_back(r.offset);
     }
   }
-  const auto middle = offsets.begin() + static_cast<std::ptrdiff_t>(offsets.size() / 2);
-  std::nth_element(offsets.begin(), middle, offsets.end());
-  const auto since =
+  const auto median = offsets.begin() + static_cast<std::ptrdiff_t>(offsets.size() / 2);
+  std::nth_element(offsets.begin(), median, offsets.end());
+  const auto elapsed =
       std::chrono::duration_cast<std::chrono::milliseconds>(own.mono.time_since_epoch());
-  return wall_time{since + *middle};
+  return wall_time{elapsed + *median};
 }
 
 } // namespace wisteriaflow::gateway
--- a/src/gateway/json_fields.h
+++ b/src/gateway/json_fields.h
@@ -1,5 +1,5 @@
-// Fields of JSON values between daemons. Each throws std::exception if the field is missing or of
-// another type; callers turn that into their own error.
+// Accessors for fields of JSON values that daemons exchange. Each throws std::exception if the
+// field is missing or of another type; callers convert that into their own error.
 
 #ifndef WISTERIAFLOW_SRC_GATEWAY_JSON_FIELDS_H_
 #define WISTERIAFLOW_SRC_GATEWAY_JSON_FIELDS_H_
@@ -25,8 +25,7 @@
   return from.at(key).to_number<std::uint64_t>();
 }
 
-// Time passed is never negative, whatever a peer says: what comes from the future would count for
-// ever.
+// An age is never negative, whatever a peer sends: a timestamp in the future would never expire.
 inline std::chrono::milliseconds decode_age(const boost::json::value& from)
 {
   return std::chrono::milliseconds(std::max<std::int64_t>(0, from.to_number<std::int64_t>()));
--- a/src/gateway/peer_report.cc
+++ b/src/gateway/peer_report.cc
@@ -35,11 +35,11 @@
           {"acting", c.acting}};
 }
 
-// Peers of an earlier version do not tell every flag.
-bool flag_at(const json::value& from, std::string_view key)
+// Peers of an earlier version omit some flags.
+bool optional_flag_at(const json::value& from, std::string_view key)
 {
-  const auto* told = from.as_object().if_contains(key);
-  return told != nullptr && told->as_bool();
+  const auto* field = from.as_object().if_contains(key);
+  return field != nullptr && field->as_bool();
 }
 
 daemon_contact decode_contact(const json::value& from)
@@ -51,7 +51,7 @@
           .zone = availability_zone(text_at(from, "zone")),
           .ready = from.at("ready").as_bool(),
           .leaving = from.at("leaving").as_bool(),
-          .acting = flag_at(from, "acting")};
+          .acting = optional_flag_at(from, "acting")};
 }
 
 json::object encode(const endpoint_work_map& work)
@@ -63,15 +63,16 @@
   return out;
 }
 
-// Peers of earlier versions tell less. Without the tokens that wait ordinary prompts are assumed.
-constexpr std::uint64_t ordinary_prompt = 1'000; // tokens
+// Peers of earlier versions send fewer values. Without the number of waiting tokens, prompts of
+// this size are assumed.
+constexpr std::uint64_t default_prompt_tokens = 1'000; // tokens
 
 endpoint_work decode_work(const json::array& from)
 {
   endpoint_work out{.waiting = from.at(0).to_number<std::uint32_t>(),
                     .running = from.at(1).to_number<std::uint32_t>()};
   out.waiting_tokens =
-      from.size() > 2 ? from.at(2).to_number<std::uint64_t>() : out.waiting * ordinary_prompt;
+      from.size() > 2 ? from.at(2).to_number<std::uint64_t>() : out.waiting * default_prompt_tokens;
   out.unreachable = from.size() > 3 ? from.at(3).to_number<std::uint32_t>() : 0;
   return out;
 }
@@ -94,10 +95,10 @@
   return out;
 }
 
-json::object encode(const std::vector<peer_age>& heard)
+json::object encode(const std::vector<peer_last_seen>& ages)
 {
   json::object out;
-  for (const auto& h : heard) {
+  for (const auto& h : ages) {
     out[h.id.value()] = h.age.count();
   }
   return out;
@@ -177,18 +178,18 @@
           {"version", r.version}, {"cold", r.cold}};
 }
 
-// Peers of an earlier version do not tell it.
-std::string text_if_told(const json::value& from, std::string_view key)
+// Peers of an earlier version omit this field.
+std::string optional_text_at(const json::value& from, std::string_view key)
 {
-  const auto* told = from.as_object().if_contains(key);
-  return told == nullptr ? std::string() : json::value_to<std::string>(*told);
+  const auto* field = from.as_object().if_contains(key);
+  return field == nullptr ? std::string() : json::value_to<std::string>(*field);
 }
 
-// Peers of an earlier version do not tell when an endpoint started.
+// Peers of an earlier version omit the incarnation of an endpoint.
 std::uint64_t decode_incarnation(const json::value& from)
 {
-  const auto* told = from.as_object().if_contains("incarnation");
-  return told == nullptr ? 0 : told->to_number<std::uint64_t>();
+  const auto* field = from.as_object().if_contains("incarnation");
+  return field == nullptr ? 0 : field->to_number<std::uint64_t>();
 }
 
 endpoint_record decode_record(const json::value& from)
@@ -197,13 +198,13 @@
           .revision = number_at(from, "revision"),
           .incarnation = decode_incarnation(from),
           .service = text_at(from, "service"),
-          .version = text_if_told(from, "version"),
+          .version = optional_text_at(from, "version"),
           .address = http::parse_socket_address(text_at(from, "address")),
           .zone = availability_zone(text_at(from, "zone")),
           .places = from.at("places").to_number<std::uint32_t>(),
           .leaving = from.at("leaving").as_bool(),
           .reclaimable = from.at("reclaimable").as_bool(),
-          .cold = flag_at(from, "cold")};
+          .cold = optional_flag_at(from, "cold")};
 }
 
 endpoint_work_map decode_work_map(const json::value& from)
@@ -239,14 +240,14 @@
   out.configuration_version = number_at(from, "configuration");
   out.clock = from_unix_ms(from.at("clock").to_number<std::int64_t>());
   for (const auto& c : from.at("known").as_array()) {
-    out.known.push_back(decode_contact(c));
+    out.known_daemons.push_back(decode_contact(c));
   }
   for (const auto& [id, age] : from.at("heard").as_object()) {
-    out.heard.push_back({.id = daemon_id(std::string(id)), .age = decode_age(age)});
+    out.last_seen.push_back({.id = daemon_id(std::string(id)), .age = decode_age(age)});
   }
   out.work = decode_work_map(from.at("work"));
   out.prefill = decode_prefill(from.at("prefill"));
-  // Peers of an earlier version pass nothing on.
+  // Peers of an earlier version relay nothing.
   if (const auto* relayed = from.as_object().if_contains("relayed")) {
     for (const auto& r : relayed->as_array()) {
       out.relayed.push_back(decode_relayed(r));
@@ -257,26 +258,26 @@
   for (const auto& r : from.at("usage").as_array()) {
     out.usage.push_back(decode_row(r));
   }
-  // Peers of an earlier version tell of no terms.
+  // Peers of an earlier version send no terms.
   if (const auto* terms = from.as_object().if_contains("terms")) {
     out.terms = decode_terms(*terms);
   }
-  // Peers of an earlier version know of no crashes.
+  // Peers of an earlier version send no crashes.
   if (const auto* crashes = from.as_object().if_contains("crashes")) {
     out.crashes = decode_crash_news(*crashes);
     out.crash_digest = number_at(from, "crash_digest");
   }
-  // Peers of an earlier version know of no roll-outs.
+  // Peers of an earlier version send no roll-outs.
   if (const auto* rollouts = from.as_object().if_contains("rollouts")) {
     out.rollouts = decode_rollouts(*rollouts);
-    out.rollouts_known_up_to = number_at(from, "rollouts_known_up_to");
+    out.rollouts_revision = number_at(from, "rollouts_known_up_to");
     out.rollout_rows = decode_rollout_rows(from.at("rollout_rows"));
   }
   return out;
 }
 
-// Parses `text` and turns every error into peer_report_error.
-template <typename reader> auto read(std::string_view text, reader take)
+// Parses `text` and converts every exception into peer_report_error.
+template <typename reader> auto parse_as(std::string_view text, reader take)
 {
   try {
     return take(json::parse(text));
@@ -292,7 +293,7 @@
   report.age += age;
   report.clock += age;
   report.endpoints.age += age;
-  for (auto& h : report.heard) {
+  for (auto& h : report.last_seen) {
     h.age += age;
   }
   for (auto& r : report.relayed) {
@@ -307,7 +308,7 @@
 std::string encode_peer_report(const peer_report& report)
 {
   json::array known;
-  for (const auto& c : report.known) {
+  for (const auto& c : report.known_daemons) {
     known.push_back(encode(c));
   }
   json::array relayed;
@@ -319,7 +320,7 @@
                            {"configuration", report.configuration_version},
                            {"clock", to_unix_ms(report.clock)},
                            {"known", std::move(known)},
-                           {"heard", encode(report.heard)},
+                           {"heard", encode(report.last_seen)},
                            {"work", encode(report.work)},
                            {"prefill", encode(report.prefill)},
                            {"departures", encode(report.departures)},
@@ -327,17 +328,18 @@
                            {"endpoints", encode(report.endpoints)},
                            {"usage", encode(report.usage)},
                            {"rollouts", encode_rollouts(report.rollouts)},
-                           {"rollouts_known_up_to", report.rollouts_known_up_to},
+                           {"rollouts_known_up_to", report.rollouts_revision},
                            {"rollout_rows", encode_rollout_rows(report.rollout_rows)},
                            {"crashes", encode_crash_news(report.crashes)},
                            {"crash_digest", report.crash_digest}};
   return json::serialize(out);
 }
 
-std::string encode_quota_question(const quota_question& question)
+std::string encode_quota_request(const quota_request& request)
 {
-  const json::value out = {
-      {"workspace", question.workspace.value()}, {"units", question.units}, {"ask", question.ask}};
+  const json::value out = {{"workspace", request.workspace.value()},
+                           {"units", request.min_units},
+                           {"ask", request.wanted_units}};
   return json::serialize(out);
 }
 
@@ -361,7 +363,7 @@
 
 endpoint_changes decode_endpoint_changes(std::string_view text)
 {
-  return read(text, [](const json::value& from) {
+  return parse_as(text, [](const json::value& from) {
     endpoint_changes out{.view = decode_view(from.at("view"))};
     for (const auto& r : from.at("records").as_array()) {
       out.records.push_back(decode_record(r));
@@ -371,18 +373,18 @@
   });
 }
 
-quota_question decode_quota_question(std::string_view text)
+quota_request decode_quota_request(std::string_view text)
 {
-  return read(text, [](const json::value& from) {
-    return quota_question{.workspace = workspace_id(text_at(from, "workspace")),
-                          .units = from.at("units").to_number<double>(),
-                          .ask = from.at("ask").to_number<double>()};
+  return parse_as(text, [](const json::value& from) {
+    return quota_request{.workspace = workspace_id(text_at(from, "workspace")),
+                         .min_units = from.at("units").to_number<double>(),
+                         .wanted_units = from.at("ask").to_number<double>()};
   });
 }
 
 quota_grant decode_quota_grant(std::string_view text)
 {
-  return read(text, [](const json::value& from) {
+  return parse_as(text, [](const json::value& from) {
     const auto ms = from.at("retry_after_ms").to_number<std::int64_t>();
     return quota_grant{.units = from.at("units").to_number<double>(),
                        .retry_after = std::chrono::milliseconds(ms)};
@@ -391,7 +393,7 @@
 
 peer_report decode_peer_report(std::string_view text)
 {
-  return read(text, decode);
+  return parse_as(text, decode);
 }
 
 } // namespace wisteriaflow::gateway
--- a/src/gateway/peer_rounds.cc
+++ b/src/gateway/peer_rounds.cc
@@ -5,90 +5,91 @@
 
 namespace wisteriaflow::gateway {
 
-void peer_rounds::on_answer(const http::socket_address& peer, mono_time now)
+void gossip_scheduler::on_report(const http::socket_address& peer, mono_time now)
 {
-  standings_[peer] = {.answered_at = now};
+  states_[peer] = {.answered_at = now};
 }
 
-peer_rounds::standing peer_rounds::standing_of(const http::socket_address& peer) const
+gossip_scheduler::peer_state gossip_scheduler::state_of(const http::socket_address& peer) const
 {
-  const auto it = standings_.find(peer);
-  return it == standings_.end() ? standing{} : it->second;
+  const auto it = states_.find(peer);
+  return it == states_.end() ? peer_state{} : it->second;
 }
 
-bool peer_rounds::is_due(const standing& it, mono_time now) const
+bool gossip_scheduler::is_due(const peer_state& it, mono_time now) const
 {
   if (now < it.answered_at + options_.period / 2) {
     return false;
   }
-  const bool silent = it.unanswered >= options_.silent_rounds;
-  return !silent || round_ % options_.silent_rounds == 0;
+  const bool silent = it.unanswered >= options_.silent_backoff_rounds;
+  return !silent || round_ % options_.silent_backoff_rounds == 0;
 }
 
-void peer_rounds::note_asked(const std::vector<http::socket_address>& peers)
+void gossip_scheduler::record_asked(const std::vector<http::socket_address>& peers)
 {
   for (const auto& peer : peers) {
-    ++standings_[peer].unanswered;
+    ++states_[peer].unanswered;
   }
 }
 
 std::optional<http::socket_address>
-peer_rounds::lead_to_ask(const std::vector<http::socket_address>& leads, std::size_t peers,
-                         mono_time now)
+gossip_scheduler::coordinator_to_ask(const std::vector<http::socket_address>& coordinators,
+                                     std::size_t peers, mono_time now)
 {
-  const auto period =
-      std::max(options_.lead_period, static_cast<int>(peers) * options_.lead_period_by_peer);
-  if (leads.empty() || now < lead_asked_at_ + period) {
+  const auto period = std::max(options_.coordinator_period,
+                               static_cast<int>(peers) * options_.coordinator_period_per_peer);
+  if (coordinators.empty() || now < coordinator_asked_at_ + period) {
     return std::nullopt;
   }
-  lead_asked_at_ = now;
-  return *std::min_element(leads.begin(), leads.end(), [this](const auto& a, const auto& b) {
-    return standing_of(a).answered_at < standing_of(b).answered_at;
-  });
+  coordinator_asked_at_ = now;
+  return *std::min_element(coordinators.begin(), coordinators.end(),
+                           [this](const auto& a, const auto& b) {
+                             return state_of(a).answered_at < state_of(b).answered_at;
+                           });
 }
 
-std::vector<http::socket_address> peer_rounds::next(std::vector<http::socket_address> known,
-                                                    const std::vector<http::socket_address>& leads,
-                                                    mono_time now)
+std::vector<http::socket_address>
+gossip_scheduler::next_targets(std::vector<http::socket_address> addresses,
+                               const std::vector<http::socket_address>& coordinators, mono_time now)
 {
   ++round_;
-  const auto number = known.size();
-  const auto most = number <= options_.all_asked ? number : options_.fanout;
-  std::shuffle(known.begin(), known.end(), random_);
+  const auto peer_count = addresses.size();
+  const auto max_asked = peer_count <= options_.full_mesh_limit ? peer_count : options_.fanout;
+  std::shuffle(addresses.begin(), addresses.end(), random_);
   struct due_peer {
     mono_time answered_at;
     http::socket_address address;
   };
   std::vector<due_peer> due;
-  for (auto& peer : known) {
-    const auto it = standing_of(peer);
+  for (auto& peer : addresses) {
+    const auto it = state_of(peer);
     if (is_due(it, now)) {
       due.push_back({.answered_at = it.answered_at, .address = std::move(peer)});
     }
   }
-  // In turn, so that no peer is left out by chance.
-  const auto asked = std::min(due.size(), most);
+  // The oldest reports first, so that no peer is left out by chance.
+  const auto asked = std::min(due.size(), max_asked);
   std::partial_sort(due.begin(), due.begin() + static_cast<std::ptrdiff_t>(asked), due.end(),
                     [](const auto& a, const auto& b) { return a.answered_at < b.answered_at; });
   std::vector<http::socket_address> out;
   for (std::size_t i = 0; i < asked; ++i) {
     out.push_back(std::move(due[i].address));
   }
-  const auto lead = lead_to_ask(leads, number, now);
-  if (lead && std::find(out.begin(), out.end(), *lead) == out.end()) {
-    out.push_back(*lead);
+  const auto coordinator = coordinator_to_ask(coordinators, peer_count, now);
+  if (coordinator && std::find(out.begin(), out.end(), *coordinator) == out.end()) {
+    out.push_back(*coordinator);
   }
-  note_asked(out);
+  record_asked(out);
   return out;
 }
 
 std::vector<http::socket_address>
-peer_rounds::next_for_news(std::vector<http::socket_address> known)
+gossip_scheduler::next_urgent_targets(std::vector<http::socket_address> addresses)
 {
-  std::shuffle(known.begin(), known.end(), random_);
-  known.resize(std::min(known.size(), options_.news_fanout));
-  note_asked(known);
-  return known;
+  std::shuffle(addresses.begin(), addresses.end(), random_);
+  addresses.resize(std::min(addresses.size(), options_.urgent_fanout));
+  record_asked(addresses);
+  return addresses;
 }
 
 } // namespace wisteriaflow::gateway
--- a/src/gateway/peers_work.cc
+++ b/src/gateway/peers_work.cc
@@ -4,7 +4,7 @@
 
 namespace wisteriaflow::gateway {
 
-void peers_work::add(const endpoint_work_map& work)
+void peer_work_totals::add(const endpoint_work_map& work)
 {
   for (const auto& [id, w] : work) {
     auto& total = totals_[id];
@@ -15,7 +15,7 @@
   }
 }
 
-void peers_work::subtract(const endpoint_work_map& work)
+void peer_work_totals::subtract(const endpoint_work_map& work)
 {
   for (const auto& [id, w] : work) {
     auto& total = totals_[id];
@@ -29,39 +29,39 @@
   }
 }
 
-void peers_work::on_work(const daemon_id& peer, endpoint_work_map work, mono_time told_at)
+void peer_work_totals::on_work(const daemon_id& peer, endpoint_work_map work, mono_time as_of)
 {
-  auto& told = told_[peer];
-  if (told_at + valid_for_ < told.valid_until) {
+  auto& report = reports_[peer];
+  if (as_of + valid_for_ < report.valid_until) {
     return;
   }
-  subtract(told.work);
+  subtract(report.work);
   add(work);
-  told.work = std::move(work);
-  told.valid_until = told_at + valid_for_;
+  report.work = std::move(work);
+  report.valid_until = as_of + valid_for_;
 }
 
-void peers_work::on_prefill(const daemon_id& peer, prefill_demand demand, mono_time told_at)
+void peer_work_totals::on_prefill(const daemon_id& peer, prefill_demand demand, mono_time as_of)
 {
-  auto& told = told_[peer];
-  if (told_at + valid_for_ < told.valid_until) {
+  auto& report = reports_[peer];
+  if (as_of + valid_for_ < report.valid_until) {
     return;
   }
-  told.prefill = std::move(demand);
-  told.valid_until = told_at + valid_for_;
+  report.prefill = std::move(demand);
+  report.valid_until = as_of + valid_for_;
 }
 
-void peers_work::forget(const endpoint_id& id)
+void peer_work_totals::forget_endpoint(const endpoint_id& id)
 {
-  for (auto& [peer, told] : told_) {
-    told.work.erase(id);
+  for (auto& [peer, report] : reports_) {
+    report.work.erase(id);
   }
   totals_.erase(id);
 }
 
-void peers_work::expire(mono_time now)
+void peer_work_totals::expire(mono_time now)
 {
-  boost::unordered::erase_if(told_, [&](const auto& it) {
+  boost::unordered::erase_if(reports_, [&](const auto& it) {
     const bool counts = now < it.second.valid_until;
     if (!counts) {
       subtract(it.second.work);
@@ -70,30 +70,30 @@
   });
 }
 
-endpoint_work peers_work::at(const endpoint_id& id) const
+endpoint_work peer_work_totals::total_at(const endpoint_id& id) const
 {
   const auto it = totals_.find(id);
   return it == totals_.end() ? endpoint_work{} : it->second;
 }
 
-endpoint_work_map peers_work::work_of(const daemon_id& peer) const
+endpoint_work_map peer_work_totals::work_of(const daemon_id& peer) const
 {
-  const auto it = told_.find(peer);
-  return it == told_.end() ? endpoint_work_map{} : it->second.work;
+  const auto it = reports_.find(peer);
+  return it == reports_.end() ? endpoint_work_map{} : it->second.work;
 }
 
-prefill_demand peers_work::prefill_of(const daemon_id& peer) const
+prefill_demand peer_work_totals::prefill_of(const daemon_id& peer) const
 {
-  const auto it = told_.find(peer);
-  return it == told_.end() ? prefill_demand{} : it->second.prefill;
+  const auto it = reports_.find(peer);
+  return it == reports_.end() ? prefill_demand{} : it->second.prefill;
 }
 
-double peers_work::prefill(std::string_view service) const
+double peer_work_totals::total_prefill(std::string_view service) const
 {
   double out = 0;
-  for (const auto& [peer, told] : told_) {
-    const auto it = told.prefill.find(service);
-    out += it == told.prefill.end() ? 0 : it->second;
+  for (const auto& [peer, report] : reports_) {
+    const auto it = report.prefill.find(service);
+    out += it == report.prefill.end() ? 0 : it->second;
   }
   return out;
 }
--- a/src/gateway/rate_shares.cc
+++ b/src/gateway/rate_shares.cc
@@ -37,7 +37,7 @@
   const auto rank = rendezvous_rank(hash64_of(id.value()), self_, fleet_.candidates);
   const auto holders = std::min(holders_of(it.rate), fleet_.candidates.size() + 1);
   const bool was_held = std::exchange(it.held, !fleet_.leaving && rank < holders);
-  const double share = it.rate * fleet_.heard_part() / static_cast<double>(holders);
+  const double share = it.rate * fleet_.live_fraction() / static_cast<double>(holders);
   if (!it.held || was_held) {
     it.share.set_rate(share, now);
     return;
--- a/src/gateway/rollout.cc
+++ b/src/gateway/rollout.cc
@@ -22,23 +22,23 @@
   return "unknown";
 }
 
-double rollout::moved_part(wall_time now) const
+double rollout::moved_fraction(wall_time now) const
 {
   if (phase == rollout_phase::succeeded) {
     return 1;
   }
-  if (phase != rollout_phase::moving || now < moves_from) {
+  if (phase != rollout_phase::moving || now < move_starts_at) {
     return 0;
   }
-  if (now >= moved_by) {
+  if (now >= move_ends_at) {
     return 1;
   }
-  const std::chrono::duration<double> gone = now - moves_from;
-  const std::chrono::duration<double> whole = moved_by - moves_from;
-  return gone / whole;
+  const std::chrono::duration<double> elapsed = now - move_starts_at;
+  const std::chrono::duration<double> duration = move_ends_at - move_starts_at;
+  return elapsed / duration;
 }
 
-rollout joined(const rollout& a, const rollout& b)
+rollout merged(const rollout& a, const rollout& b)
 {
   if (a.order != b.order) {
     return a.revision >= b.revision ? a : b;
@@ -50,9 +50,10 @@
   return out;
 }
 
-std::uint64_t order_id(std::string_view service, std::string_view target, std::string_view placed)
+std::uint64_t order_id(std::string_view service, std::string_view target,
+                       std::string_view placement)
 {
-  return hash64_of(placed, hash64_of(target, hash64_of(service)));
+  return hash64_of(placement, hash64_of(target, hash64_of(service)));
 }
 
 bool carries_traffic(const rollout& r, std::string_view version)
@@ -66,45 +67,45 @@
   return r.phase == rollout_phase::trial || r.phase == rollout_phase::moving;
 }
 
-bool rollout_book::join(const entry& told)
+bool rollout_registry::merge_entry(const entry& update)
 {
-  auto [it, added] = entries_.try_emplace(told.latest.service, told);
+  auto [it, added] = entries_.try_emplace(update.latest.service, update);
   if (added) {
     return true;
   }
   auto& known = it->second;
   const auto before = known;
-  for (const auto& [version, revision] : told.refused) {
+  for (const auto& [version, revision] : update.refused) {
     auto& since = known.refused[version];
     since = std::max(since, revision);
   }
-  const auto& older = known.latest.revision < told.latest.revision ? known.latest : told.latest;
-  // An order that another one replaces has not succeeded, and nobody goes on to watch its version.
-  if (known.latest.order != told.latest.order && older.phase != rollout_phase::succeeded) {
+  const auto& older = known.latest.revision < update.latest.revision ? known.latest : update.latest;
+  // An order that another one replaces has not succeeded, and its version is no longer observed.
+  if (known.latest.order != update.latest.order && older.phase != rollout_phase::succeeded) {
     auto& since = known.refused[older.target];
     since = std::max(since, older.revision);
   }
-  known.latest = joined(known.latest, told.latest);
-  // Who orders a version again has it tried again.
+  known.latest = merged(known.latest, update.latest);
+  // A version that is ordered again gets a new trial.
   std::erase_if(known.refused, [&](const auto& r) { return r.first == known.latest.target; });
   return known != before;
 }
 
-bool rollout_book::note(const rollout& told)
+bool rollout_registry::update(const rollout& order)
 {
-  return join({.latest = told});
+  return merge_entry({.latest = order});
 }
 
-bool rollout_book::absorb(const entries& told)
+bool rollout_registry::merge(const entries& updates)
 {
-  bool news = false;
-  for (const auto& [service, e] : told) {
-    news = join(e) || news;
+  bool changed = false;
+  for (const auto& [service, e] : updates) {
+    changed = merge_entry(e) || changed;
   }
-  return news;
+  return changed;
 }
 
-bool rollout_book::withdraw(std::string_view service, std::uint64_t revision)
+bool rollout_registry::withdraw(std::string_view service, std::uint64_t revision)
 {
   const auto* known = find(service);
   if (known == nullptr || !is_open(*known) || known->revision > revision) {
@@ -113,16 +114,16 @@
   auto withdrawn = *known;
   withdrawn.phase = rollout_phase::rolled_back;
   withdrawn.reason = "withdrawn";
-  return note(withdrawn);
+  return update(withdrawn);
 }
 
-const rollout* rollout_book::find(std::string_view service) const
+const rollout* rollout_registry::find(std::string_view service) const
 {
   const auto it = entries_.find(service);
   return it == entries_.end() ? nullptr : &it->second.latest;
 }
 
-bool rollout_book::is_refused(std::string_view service, std::string_view version) const
+bool rollout_registry::is_refused(std::string_view service, std::string_view version) const
 {
   const auto it = entries_.find(service);
   if (it == entries_.end()) {
--- a/src/gateway/rollout_codec.cc
+++ b/src/gateway/rollout_codec.cc
@@ -41,8 +41,8 @@
           {"ordered_at", to_unix_ms(r.ordered_at)},
           {"deadline", to_unix_ms(r.deadline)},
           {"phase", static_cast<std::uint64_t>(r.phase)},
-          {"moves_from", to_unix_ms(r.moves_from)},
-          {"moved_by", to_unix_ms(r.moved_by)},
+          {"moves_from", to_unix_ms(r.move_starts_at)},
+          {"moved_by", to_unix_ms(r.move_ends_at)},
           {"reason", r.reason}};
 }
 
@@ -55,8 +55,8 @@
           .ordered_at = time_at(from, "ordered_at"),
           .deadline = time_at(from, "deadline"),
           .phase = phase_at(from, "phase"),
-          .moves_from = time_at(from, "moves_from"),
-          .moved_by = time_at(from, "moved_by"),
+          .move_starts_at = time_at(from, "moves_from"),
+          .move_ends_at = time_at(from, "moved_by"),
           .reason = text_at(from, "reason")};
 }
 
@@ -81,7 +81,7 @@
     for (const auto& [endpoint, n] : counts.target) {
       target[endpoint.value()] = encode(n);
     }
-    out[route] = {{"present", encode(counts.present)}, {"target", std::move(target)}};
+    out[route] = {{"present", encode(counts.baseline)}, {"target", std::move(target)}};
   }
   return out;
 }
@@ -91,7 +91,7 @@
   outcomes_by_route out;
   for (const auto& [route, counts] : from.as_object()) {
     auto& to = out[std::string(route)];
-    to.present = decode_counts(counts.at("present"));
+    to.baseline = decode_counts(counts.at("present"));
     for (const auto& [endpoint, n] : counts.at("target").as_object()) {
       to.target[endpoint_id(std::string(endpoint))] = decode_counts(n);
     }
@@ -101,7 +101,7 @@
 
 } // namespace
 
-json::value encode_rollouts(const rollout_book::entries& entries)
+json::value encode_rollouts(const rollout_registry::entries& entries)
 {
   json::array out;
   for (const auto& [service, e] : entries) {
@@ -114,11 +114,11 @@
   return out;
 }
 
-rollout_book::entries decode_rollouts(const json::value& from)
+rollout_registry::entries decode_rollouts(const json::value& from)
 {
-  rollout_book::entries out;
+  rollout_registry::entries out;
   for (const auto& each : from.as_array()) {
-    rollout_book::entry e{.latest = decode_rollout(each.at("latest"))};
+    rollout_registry::entry e{.latest = decode_rollout(each.at("latest"))};
     for (const auto& [version, revision] : each.at("refused").as_object()) {
       e.refused[std::string(version)] = revision.to_number<std::uint64_t>();
     }
--- a/src/gateway/rollout_conductor.cc
+++ b/src/gateway/rollout_conductor.cc
@@ -10,20 +10,21 @@
 
 using std::chrono::milliseconds;
 
-// A span of the options, but no more than a part of the order's time.
-milliseconds bounded(milliseconds span, double part, const rollout& order)
+// Returns `duration`, limited to a fraction of the order's time.
+milliseconds capped(milliseconds duration, double fraction, const rollout& order)
 {
-  const auto whole = static_cast<double>((order.deadline - order.ordered_at).count());
-  return std::min(span, milliseconds(static_cast<std::int64_t>(part * std::max(0.0, whole))));
+  const auto order_time = static_cast<double>((order.deadline - order.ordered_at).count());
+  return std::min(duration,
+                  milliseconds(static_cast<std::int64_t>(fraction * std::max(0.0, order_time))));
 }
 
-std::string describe(const version_badness& why)
+std::string describe(const version_regression& why)
 {
   const auto bad = [&](const outcome_counts& n) {
     return absl::StrCat(why.slow ? n.slow : n.failed, " of ", n.calls);
   };
   return absl::StrCat(why.slow ? "slow" : "failing", " on route ", why.route, ": ", bad(why.target),
-                      " at ", why.endpoints, " endpoints, beside ", bad(why.present));
+                      " at ", why.endpoints, " endpoints, beside ", bad(why.baseline));
 }
 
 std::uint64_t target_calls(const outcomes_by_route& outcomes)
@@ -39,90 +40,92 @@
 
 } // namespace
 
-std::optional<rollout> rollout_conductor::stop_if_bad(const rollout& order,
-                                                      const rollout_rows& rows,
-                                                      const clock_reading& now)
+std::optional<rollout> rollout_controller::roll_back_if_bad(const rollout& order,
+                                                            const rollout_rows& rows,
+                                                            const clock_reading& now)
 {
-  auto& judge = judges_.try_emplace(order.order, version_judge({})).first->second;
-  judge.note(rows.total(order.order), now.mono);
-  if (!judge.badness() || !is_open(order)) {
+  auto& evaluator = evaluators_.try_emplace(order.order, version_evaluator({})).first->second;
+  evaluator.add_counts(rows.total(order.order), now.mono);
+  if (!evaluator.regression() || !is_open(order)) {
     return std::nullopt;
   }
   auto out = order;
   out.phase = rollout_phase::rolled_back;
-  out.reason = describe(*judge.badness());
+  out.reason = describe(*evaluator.regression());
   return out;
 }
 
-bool rollout_conductor::is_time_to_move(const rollout& order, wall_time now) const
+bool rollout_controller::is_time_to_move(const rollout& order, wall_time now) const
 {
-  const auto needed = bounded(options_.ramp, options_.ramp_part, order) +
-                      bounded(options_.settling, options_.settling_part, order);
+  const auto needed = capped(options_.ramp_time, options_.max_ramp_fraction, order) +
+                      capped(options_.settling_time, options_.max_settling_fraction, order);
   return now >= order.deadline - needed;
 }
 
-bool rollout_conductor::is_suspicious(const rollout& order) const
+bool rollout_controller::is_suspicious(const rollout& order) const
 {
-  const auto it = judges_.find(order.order);
-  return it == judges_.end() || it->second.is_suspicious();
+  const auto it = evaluators_.find(order.order);
+  return it == evaluators_.end() || it->second.is_suspicious();
 }
 
-std::optional<rollout> rollout_conductor::next_phase(const rollout& order, const rollout_rows& rows,
-                                                     const version_endpoints& endpoints,
-                                                     wall_time now) const
+std::optional<rollout> rollout_controller::next_phase(const rollout& order,
+                                                      const rollout_rows& rows,
+                                                      const version_endpoint_counts& endpoints,
+                                                      wall_time now) const
 {
   if (order.phase != rollout_phase::trial || !is_time_to_move(order, now)) {
     return std::nullopt;
   }
   auto out = order;
-  const bool late = now >= order.deadline;
-  const auto wanted = options_.fewest_endpoints * static_cast<double>(endpoints.present);
-  const bool has_room = endpoints.target > 0 && static_cast<double>(endpoints.target) >= wanted;
-  if (!has_room) {
-    // An order whose endpoints never come is given up after its time once more.
+  const bool is_late = now >= order.deadline;
+  const auto min_endpoints = options_.min_endpoint_ratio * static_cast<double>(endpoints.baseline);
+  const bool has_capacity =
+      endpoints.target > 0 && static_cast<double>(endpoints.target) >= min_endpoints;
+  if (!has_capacity) {
+    // An order whose endpoints never start is given up after twice its time.
     if (now < order.deadline + (order.deadline - order.ordered_at)) {
       return std::nullopt;
     }
     out.phase = rollout_phase::rolled_back;
-    out.reason = absl::StrCat("only ", endpoints.target, " endpoints, beside ", endpoints.present);
+    out.reason = absl::StrCat("only ", endpoints.target, " endpoints, beside ", endpoints.baseline);
     return out;
   }
-  // A version that nothing is known of yet, or that looks bad, gets all the time there is: late
-  // costs less than a bad version that everybody gets.
-  const bool known = target_calls(rows.total(order.order)) >= options_.fewest_calls;
-  if (!late && (!known || is_suspicious(order))) {
+  // A version without enough calls so far, or a suspicious one, gets all the time until the
+  // deadline: a late roll-out costs less than a bad version that serves all callers.
+  const bool has_evidence = target_calls(rows.total(order.order)) >= options_.min_target_calls;
+  if (!is_late && (!has_evidence || is_suspicious(order))) {
     return std::nullopt;
   }
   out.phase = rollout_phase::moving;
-  out.moves_from = now;
-  out.moved_by = now + bounded(options_.ramp, options_.ramp_part, order);
+  out.move_starts_at = now;
+  out.move_ends_at = now + capped(options_.ramp_time, options_.max_ramp_fraction, order);
   out.reason = "no worse than the present version";
   return out;
 }
 
-bool rollout_conductor::is_complete(const rollout& order, const rollout_rows& rows,
-                                    const fleet_standing& fleet, wall_time now) const
+bool rollout_controller::is_complete(const rollout& order, const rollout_rows& rows,
+                                     const fleet_status& fleet, wall_time now) const
 {
-  if (order.phase != rollout_phase::moving || now < order.moved_by) {
+  if (order.phase != rollout_phase::moving || now < order.move_ends_at) {
     return false;
   }
-  const auto is_through = [&](const daemon_id& id) {
+  const auto has_drained = [&](const daemon_id& id) {
     const auto* row = rows.find(order.order, id);
     return row != nullptr && row->moved && row->open_calls == 0;
   };
-  // Daemons that are not heard may still be sending to the old endpoints, but not for ever: the
-  // deadline is theirs as well.
-  const bool waits = fleet.some_silent && now < order.deadline;
-  return !waits && std::all_of(fleet.live.begin(), fleet.live.end(), is_through);
+  // Daemons that are not live may still be sending to the old endpoints, but only until the
+  // deadline, which applies to them as well.
+  const bool must_wait = fleet.has_silent_daemons && now < order.deadline;
+  return !must_wait && std::all_of(fleet.live.begin(), fleet.live.end(), has_drained);
 }
 
-void rollout_conductor::retain(const rollout_book& book)
+void rollout_controller::retain(const rollout_registry& registry)
 {
-  std::erase_if(judges_, [&](const auto& it) {
-    const auto is_its = [&](const auto& e) {
+  std::erase_if(evaluators_, [&](const auto& it) {
+    const auto is_open_order = [&](const auto& e) {
       return e.second.latest.order == it.first && is_open(e.second.latest);
     };
-    return std::none_of(book.all().begin(), book.all().end(), is_its);
+    return std::none_of(registry.all().begin(), registry.all().end(), is_open_order);
   });
 }
 
--- a/src/gateway/usage_counts.cc
+++ b/src/gateway/usage_counts.cc
@@ -6,8 +6,8 @@
 namespace wisteriaflow::gateway {
 
 usage_counts::usage_counts(usage_source self, std::chrono::milliseconds window_length,
-                           usage_window kept)
-    : self_(std::move(self)), window_length_(window_length), kept_(kept)
+                           usage_window retained_windows)
+    : self_(std::move(self)), window_length_(window_length), retained_windows_(retained_windows)
 {
 }
 
@@ -21,25 +21,26 @@
   return wall_time{window_length_ * static_cast<std::int64_t>(window + 1)};
 }
 
-void usage_counts::began(const workspace_id& workspace, wall_time at)
+void usage_counts::record_start(const workspace_id& workspace, wall_time at)
 {
   ++windows_[window_at(at)][self_][workspace];
 }
 
-void usage_counts::absorb(const usage_row& row)
+void usage_counts::merge(const usage_row& row)
 {
   if (row.source == self_) {
     return;
   }
-  auto& known = windows_[row.window][row.source];
+  auto& merged = windows_[row.window][row.source];
   for (const auto& [workspace, n] : row.counts) {
-    auto& count = known[workspace];
+    auto& count = merged[workspace];
     count = std::max(count, n);
   }
 }
 
-std::vector<usage_row> usage_counts::rows(const std::function<bool(const daemon_id&)>& is_silent,
-                                          std::size_t most_of_others)
+std::vector<usage_row>
+usage_counts::rows_for_peer(const std::function<bool(const daemon_id&)>& is_silent,
+                            std::size_t max_relayed)
 {
   struct known_row {
     usage_window window = 0;
@@ -57,8 +58,8 @@
       }
     }
   }
-  for (std::size_t i = 0; i < std::min(most_of_others, others.size()); ++i) {
-    const auto& row = others[next_of_others_++ % others.size()];
+  for (std::size_t i = 0; i < std::min(max_relayed, others.size()); ++i) {
+    const auto& row = others[next_relayed_row_++ % others.size()];
     out.push_back({.source = *row.source, .window = row.window, .counts = *row.counts});
   }
   return out;
@@ -82,7 +83,7 @@
 void usage_counts::forget_old(wall_time now)
 {
   const auto current = window_at(now);
-  while (!windows_.empty() && windows_.begin()->first + kept_ < current) {
+  while (!windows_.empty() && windows_.begin()->first + retained_windows_ < current) {
     windows_.erase(windows_.begin());
   }
 }
--- a/src/gateway/version_counts.cc
+++ b/src/gateway/version_counts.cc
@@ -12,7 +12,7 @@
   return *this;
 }
 
-outcome_counts since(const outcome_counts& a, const outcome_counts& b)
+outcome_counts counts_since(const outcome_counts& a, const outcome_counts& b)
 {
   const auto less = [](std::uint64_t x, std::uint64_t y) { return x - std::min(x, y); };
   return {.calls = less(a.calls, b.calls),
@@ -20,7 +20,7 @@
           .slow = less(a.slow, b.slow)};
 }
 
-void rollout_rows::absorb(const rollout_row& row)
+void rollout_rows::merge(const rollout_row& row)
 {
   auto& known = rows_[row.order][row.source];
   if (row.sequence >= known.sequence) {
@@ -45,7 +45,7 @@
   for (const auto& [source, row] : rows->second) {
     for (const auto& [route, counts] : row.outcomes) {
       auto& sum = out[route];
-      sum.present += counts.present;
+      sum.baseline += counts.baseline;
       for (const auto& [endpoint, n] : counts.target) {
         sum.target[endpoint] += n;
       }
--- a/src/gateway/version_gate.cc
+++ b/src/gateway/version_gate.cc
@@ -4,28 +4,28 @@
 
 namespace wisteriaflow::gateway {
 
-void version_gate::set_known_up_to(std::uint64_t revision)
+void version_gate::set_rollouts_revision(std::uint64_t revision)
 {
-  known_up_to_ = std::max(known_up_to_, revision);
+  rollouts_revision_ = std::max(rollouts_revision_, revision);
 }
 
-bool version_gate::is_usable(const versioned_endpoint& endpoint, const rollout_book& book)
+bool version_gate::is_usable(const versioned_endpoint& endpoint, const rollout_registry& registry)
 {
   if (!enabled_ || endpoint.version.empty()) {
     return true;
   }
-  if (book.is_refused(endpoint.service, endpoint.version)) {
+  if (registry.is_refused(endpoint.service, endpoint.version)) {
     return false;
   }
-  const auto service = seen_.find(endpoint.service);
-  if (service != seen_.end() && service->second.contains(endpoint.version)) {
+  const auto service = accepted_versions_.find(endpoint.service);
+  if (service != accepted_versions_.end() && service->second.contains(endpoint.version)) {
     return true;
   }
-  if (endpoint.revision > known_up_to_) {
-    wanted_ = std::max(wanted_, endpoint.revision);
+  if (endpoint.revision > rollouts_revision_) {
+    awaited_revision_ = std::max(awaited_revision_, endpoint.revision);
     return false;
   }
-  seen_[std::string(endpoint.service)].emplace(endpoint.version);
+  accepted_versions_[std::string(endpoint.service)].emplace(endpoint.version);
   return true;
 }
 
--- a/src/gateway/version_judge.cc
+++ b/src/gateway/version_judge.cc
@@ -10,31 +10,31 @@
 namespace wisteriaflow::gateway {
 namespace {
 
-// How many times as often calls go badly on a version that the test is made for. The odds are the
-// mean over these: each has most power near itself.
+// Ratios of bad calls on the target to bad calls on the baseline that the test is designed for. The
+// odds are the mean over these ratios: each has the most power near itself.
 constexpr std::array<double, 3> excess_rates{2, 4, 12};
 
-double bad_of(const outcome_counts& n, bool slow)
+double bad_calls(const outcome_counts& n, bool slow)
 {
   return static_cast<double>(slow ? n.slow : n.failed);
 }
 
-// Adds to the logarithm of the odds what one step says, for a version on which calls go badly
-// `excess` times as often.
-double step_log(const outcome_counts& present, const outcome_counts& target, bool slow,
-                double excess)
+// Returns the log odds that one step contributes, for a target on which calls go badly `excess`
+// times as often.
+double step_log_odds(const outcome_counts& baseline, const outcome_counts& target, bool slow,
+                     double excess)
 {
-  const auto calls = static_cast<double>(present.calls + target.calls);
-  if (present.calls == 0 || target.calls == 0) {
+  const auto calls = static_cast<double>(baseline.calls + target.calls);
+  if (baseline.calls == 0 || target.calls == 0) {
     return 0; // nothing to compare with
   }
   const double share = static_cast<double>(target.calls) / calls;
   const double if_bad = excess * share / (1 + (excess - 1) * share);
-  return bad_of(target, slow) * std::log(if_bad / share) +
-         bad_of(present, slow) * std::log((1 - if_bad) / (1 - share));
+  return bad_calls(target, slow) * std::log(if_bad / share) +
+         bad_calls(baseline, slow) * std::log((1 - if_bad) / (1 - share));
 }
 
-double mean_of_logs(const std::array<double, excess_rates.size()>& logs)
+double log_mean_exp(const std::array<double, excess_rates.size()>& logs)
 {
   const double highest = *std::max_element(logs.begin(), logs.end());
   double sum = 0;
@@ -46,48 +46,49 @@
 
 } // namespace
 
-void version_judge::note(const outcomes_by_route& total, mono_time now)
+void version_evaluator::add_counts(const outcomes_by_route& total, mono_time now)
 {
-  if (noted_at_ && now < *noted_at_ + options_.step) {
+  if (last_step_at_ && now < *last_step_at_ + options_.min_step) {
     return;
   }
-  noted_at_ = now;
+  last_step_at_ = now;
   const bool restarts = !restarted_at_ || now >= *restarted_at_ + options_.restart_period;
-  if (restarts && starts_.size() <= options_.restarts) {
+  if (restarts && test_starts_.size() <= options_.restarts) {
     restarted_at_ = now;
-    starts_.push_back(steps_);
+    test_starts_.push_back(steps_);
   }
   for (const auto& [route, counts] : total) {
     auto& history = routes_[route];
-    step_counts step{.present = since(counts.present, history.noted.present)};
+    step_counts step{.baseline = counts_since(counts.baseline, history.last_counts.baseline)};
     for (const auto& [endpoint, n] : counts.target) {
-      step.target[endpoint] = since(n, history.noted.target[endpoint]);
+      step.target[endpoint] = counts_since(n, history.last_counts.target[endpoint]);
     }
-    history.noted = counts;
-    history.steps.resize(steps_); // a route that is new now
+    history.last_counts = counts;
+    history.steps.resize(steps_); // for a route that is new in this step
     history.steps.push_back(std::move(step));
   }
   ++steps_;
   suspicious_ = false;
   for (const auto& [route, history] : routes_) {
-    judge(route, history, false);
-    judge(route, history, true);
+    evaluate(route, history, false);
+    evaluate(route, history, true);
   }
 }
 
-void version_judge::judge(const std::string& route, const route_history& history, bool slow)
+void version_evaluator::evaluate(const std::string& route, const route_history& history, bool slow)
 {
   // Half of the permitted error for the tests from the start, half for all others.
   constexpr double kinds = 2;
-  const double tests = 2 * kinds * static_cast<double>(options_.routes) / options_.permitted_error;
-  for (const auto first : starts_) {
+  const double tests =
+      2 * kinds * static_cast<double>(options_.routes) / options_.max_false_positive_rate;
+  for (const auto first : test_starts_) {
     const double limit = first == 0 ? tests : tests * static_cast<double>(options_.restarts);
-    judge_from(first, std::log(limit), route, history, slow);
+    evaluate_from(first, std::log(limit), route, history, slow);
   }
 }
 
-double version_judge::odds_of(std::size_t first_step, const route_history& history, bool slow,
-                              const std::set<endpoint_id>& endpoints)
+double version_evaluator::log_odds_of(std::size_t first_step, const route_history& history,
+                                      bool slow, const std::set<endpoint_id>& endpoints)
 {
   std::array<double, excess_rates.size()> logs{};
   for (auto i = first_step; i < history.steps.size(); ++i) {
@@ -98,19 +99,20 @@
       }
     }
     for (std::size_t k = 0; k < logs.size(); ++k) {
-      logs[k] += step_log(history.steps[i].present, in_step, slow, excess_rates[k]);
+      logs[k] += step_log_odds(history.steps[i].baseline, in_step, slow, excess_rates[k]);
     }
   }
-  return mean_of_logs(logs);
+  return log_mean_exp(logs);
 }
 
-void version_judge::judge_from(std::size_t first_step, double limit_log, const std::string& route,
-                               const route_history& history, bool slow)
+void version_evaluator::evaluate_from(std::size_t first_step, double log_limit,
+                                      const std::string& route, const route_history& history,
+                                      bool slow)
 {
-  outcome_counts present;
+  outcome_counts baseline;
   std::map<endpoint_id, outcome_counts> by_endpoint;
   for (auto i = first_step; i < history.steps.size(); ++i) {
-    present += history.steps[i].present;
+    baseline += history.steps[i].baseline;
     for (const auto& [endpoint, n] : history.steps[i].target) {
       by_endpoint[endpoint] += n;
     }
@@ -122,36 +124,37 @@
   std::vector<std::pair<double, endpoint_id>> worst_first;
   worst_first.reserve(by_endpoint.size());
   for (const auto& [endpoint, n] : by_endpoint) {
-    worst_first.emplace_back(-bad_of(n, slow), endpoint);
+    worst_first.emplace_back(-bad_calls(n, slow), endpoint);
   }
   std::sort(worst_first.begin(), worst_first.end());
-  constexpr std::size_t fewest_kept = 2;
-  const auto number = worst_first.size();
-  const auto wanted =
-      static_cast<std::size_t>(std::ceil(options_.left_out * static_cast<double>(number)));
-  const auto dropped = number > fewest_kept ? std::min(wanted, number - fewest_kept) : 0;
+  constexpr std::size_t min_kept = 2;
+  const auto endpoint_count = worst_first.size();
+  const auto excluded_wanted = static_cast<std::size_t>(
+      std::ceil(options_.excluded_fraction * static_cast<double>(endpoint_count)));
+  const auto excluded =
+      endpoint_count > min_kept ? std::min(excluded_wanted, endpoint_count - min_kept) : 0;
   std::set<endpoint_id> kept;
   outcome_counts target;
-  for (auto i = dropped; i < number; ++i) {
+  for (auto i = excluded; i < endpoint_count; ++i) {
     kept.insert(worst_first[i].second);
     target += by_endpoint.at(worst_first[i].second);
   }
-  const double odds_log = odds_of(first_step, history, slow, kept);
-  // For suspicion all endpoints count: on a route with few calls the others may say too little, and
-  // a good version with ill endpoints is only late.
+  const double log_odds = log_odds_of(first_step, history, slow, kept);
+  // All endpoints count for suspicion: on a route with few calls the remaining ones may be too
+  // little evidence, and a suspicion only delays a good version that has faulty endpoints.
   std::set<endpoint_id> all;
   for (const auto& [endpoint, n] : by_endpoint) {
     all.insert(endpoint);
   }
-  const double odds_of_all = odds_of(first_step, history, slow, all);
-  suspicious_ = suspicious_ || odds_of_all >= limit_log + std::log(options_.suspicion);
-  if (odds_log >= limit_log && !badness_) {
-    badness_ = version_badness{.route = route,
-                               .slow = slow,
-                               .present = present,
-                               .target = target,
-                               .endpoints = kept.size(),
-                               .odds_log = odds_log};
+  const double log_odds_of_all = log_odds_of(first_step, history, slow, all);
+  suspicious_ = suspicious_ || log_odds_of_all >= log_limit + std::log(options_.suspicion_ratio);
+  if (log_odds >= log_limit && !regression_) {
+    regression_ = version_regression{.route = route,
+                                     .slow = slow,
+                                     .baseline = baseline,
+                                     .target = target,
+                                     .endpoints = kept.size(),
+                                     .log_odds = log_odds};
   }
 }
 
--- a/src/relay/attempt.cc
+++ b/src/relay/attempt.cc
@@ -132,7 +132,7 @@
   return std::move(result_);
 }
 
-gateway::placed_call attempt::placed() const
+gateway::call_attempt attempt::placed() const
 {
   return {.service = call_.service,
           .route = call_.route->name,
@@ -147,15 +147,15 @@
   // What ends because its endpoint leaves or is gone says nothing of the version.
   const bool ran =
       result_.how != attempt_result::end::not_sent && result_.outcome != attempt_outcome::not_run;
-  out.counts = ran && state_.endpoints.is_staying(endpoint_.process());
+  out.is_counted = ran && state_.endpoints.is_staying(endpoint_.process());
   const bool resumed = call_.history.sent > 0 && call_.last_event;
   if (!out.failed && !resumed && begun_) {
     const double work =
         ordinary_first_seconds + std::max(0, endpoint_.work.prefill_tokens) / ordinary_prefill_rate;
     const auto first = first_event_at_.value_or(now);
-    out.first_seconds = seconds(first - sent_at_).count() / work;
+    out.first_event_seconds = seconds(first - sent_at_).count() / work;
     if (first_event_at_ && events_ >= fewest_paced_events) {
-      out.event_seconds = seconds(now - first).count() / static_cast<double>(events_ - 1);
+      out.event_gap_seconds = seconds(now - first).count() / static_cast<double>(events_ - 1);
     }
   }
   end_version(out);
@@ -319,7 +319,7 @@
   state_.endpoints.on_first_token(endpoint_.work, clocks.mono);
   if (!call_.counted && !call_.workspace.empty()) {
     call_.counted = true;
-    state_.usage.began(call_.workspace, state_.clock.now(clocks));
+    state_.usage.record_start(call_.workspace, state_.clock.now(clocks));
   }
 }
 
@@ -332,7 +332,7 @@
 
 milliseconds attempt::expected_silence() const
 {
-  return streaming_ && events_ > 0 ? call_.route->longest_pause : call_.route->target_latency;
+  return streaming_ && events_ > 0 ? call_.route->max_event_gap : call_.route->target_latency;
 }
 
 void attempt::watch_silence()
--- a/src/relay/attempt.h
+++ b/src/relay/attempt.h
@@ -108,7 +108,7 @@
   // Tells how the call fared on the endpoint's version.
   void note_version(mono_time now);
   void end_version(const gateway::call_outcome& outcome);
-  [[nodiscard]] gateway::placed_call placed() const;
+  [[nodiscard]] gateway::call_attempt placed() const;
   void note_trouble(gateway::endpoint_trouble kind, mono_time now);
   void note_begin();
   // Counts what an attempt after the first costs.
--- a/src/relay/call_relay.cc
+++ b/src/relay/call_relay.cc
@@ -135,7 +135,7 @@
   if (workspace->counts_tokens) {
     const auto& size = call.description.size;
     call.quota_units =
-        size ? static_cast<double>(size->prompt + size->output) : workspace->unsized_tokens;
+        size ? static_cast<double>(size->prompt + size->output) : workspace->default_request_tokens;
   }
   return std::nullopt;
 }
@@ -167,14 +167,14 @@
   if (admitted) {
     co_return std::nullopt;
   }
-  co_return call_refusal{
-      .status = http::status::too_many_requests,
-      .reason = "workspace over its rate",
-      .retry_at = decided.retry_at,
-      .inputs = {{"workspace", call.workspace.value()},
-                 {"content", to_string(call.content)},
-                 {"units", std::to_string(call.quota_units)},
-                 {"daemons_counted", std::to_string(state_.peers.counted(call.received_at))}}};
+  co_return call_refusal{.status = http::status::too_many_requests,
+                         .reason = "workspace over its rate",
+                         .retry_at = decided.retry_at,
+                         .inputs = {{"workspace", call.workspace.value()},
+                                    {"content", to_string(call.content)},
+                                    {"units", std::to_string(call.quota_units)},
+                                    {"daemons_counted", std::to_string(state_.peers.running_count(
+                                                            call.received_at))}}};
 }
 
 const std::string& call_relay::draw_service(const gateway::route& r)
@@ -279,7 +279,7 @@
     co_await give_up(call, writer);
     co_return;
   }
-  state_.quota.give_back(call.workspace, call.quota_units, std::chrono::steady_clock::now());
+  state_.quota.refund(call.workspace, call.quota_units, std::chrono::steady_clock::now());
   co_await refuse(call.received, why, writer);
 }
 
@@ -333,7 +333,7 @@
     co_return;
   }
   if (!call.history.may_have_run) {
-    state_.quota.give_back(call.workspace, call.quota_units, now);
+    state_.quota.refund(call.workspace, call.quota_units, now);
   }
   std::optional<mono_time> retry_at;
   if (status == http::status::unavailable) {
@@ -364,19 +364,19 @@
 gateway::pool_choice call_relay::choose_version(const admitted_call& call,
                                                 gateway::endpoint_wish& wish, mono_time now)
 {
-  using side = gateway::version_lane::side;
+  using side = gateway::version_selection::subset;
   if (!state_.version_calls.is_open(call.service)) {
     return state_.endpoints.choose(wish, now);
   }
   const auto key = gateway::split_prompt(call.description.prompt).shared_key;
   const bool is_repeat = call.history.sent > 0 || call.connect_failures > 0;
-  wish.lane = state_.version_calls.lane_of(
-      {.service = call.service, .route = call.route->name, .key = key.value_or(random_())},
+  wish.lane = state_.version_calls.select(
+      {.service = call.service, .route = call.route->name, .affinity_key = key.value_or(random_())},
       is_repeat, state_.fleet_time());
   auto choice = state_.endpoints.choose(wish, now);
-  const bool has_other = wish.lane.at == side::trial || wish.lane.at == side::target;
+  const bool has_other = wish.lane.endpoints == side::trial || wish.lane.endpoints == side::target;
   if (has_other && std::holds_alternative<routing::no_endpoint>(choice)) {
-    wish.lane.at = side::present; // its endpoints are there until the order has succeeded
+    wish.lane.endpoints = side::baseline; // its endpoints are there until the order has succeeded
     choice = state_.endpoints.choose(wish, now);
   }
   return choice;
--- a/src/relay/crash_store.cc
+++ b/src/relay/crash_store.cc
@@ -56,7 +56,7 @@
 
 bool crash_store::is_read_due(mono_time now) const
 {
-  const bool all_heard = state_.peers.counted(now) == state_.peers.live(now).size() + 1;
+  const bool all_heard = state_.peers.running_count(now) == state_.peers.live(now).size() + 1;
   return !was_read_ || (!all_heard && next_read_ <= now);
 }
 
--- a/src/relay/duties.cc
+++ b/src/relay/duties.cc
@@ -202,7 +202,7 @@
     }
     ++out.serving[{.service = s.name, .zone = e->zone, .reclaimable = e->reclaimable}];
   }
-  out.busy = state_.endpoints.busy_endpoints(s.name, std::chrono::steady_clock::now());
+  out.busy_endpoints = state_.endpoints.busy_endpoints(s.name, std::chrono::steady_clock::now());
   return out;
 }
 
@@ -216,11 +216,11 @@
       continue;
     }
     if (!std::exchange(acted, true)) {
-      planner_.take_over();
+      planner_.forget_orders();
     }
     const auto configuration = state_.configuration();
     for (const auto& s : configuration->declared().services) {
-      if (!s.scaling || s.scaling->most == 0) {
+      if (!s.scaling || s.scaling->max_endpoints == 0) {
         continue;
       }
       const auto now = std::chrono::steady_clock::now();
@@ -237,15 +237,16 @@
 {
   auto message = adapter::order_call(stamp(), order);
   const auto status = co_await call_cloud(std::move(message));
-  const auto answer = status ? adapter::decode_order_answer(*status) : gateway::order_answer::lost;
-  planner_.on_answer(order, answer, std::chrono::steady_clock::now());
+  const auto answer =
+      status ? adapter::decode_order_answer(*status) : gateway::order_result::unanswered;
+  planner_.on_result(order, answer, std::chrono::steady_clock::now());
   state_.log.write(daemon::log_level::info, "endpoints ordered",
-                   {{"service", order.subject.service},
-                    {"zone", order.subject.zone.value()},
-                    {"reclaimable", order.subject.reclaimable ? "yes" : "no"},
+                   {{"service", order.group.service},
+                    {"zone", order.group.zone.value()},
+                    {"reclaimable", order.group.reclaimable ? "yes" : "no"},
                     {"wanted", std::to_string(order.wanted)},
                     {"busy", std::to_string(state_.endpoints.busy_endpoints(
-                                 order.subject.service, std::chrono::steady_clock::now()))},
+                                 order.group.service, std::chrono::steady_clock::now()))},
                     {"status", status ? std::to_string(*status) : "none"}});
 }
 
--- a/src/relay/fleet_state.cc
+++ b/src/relay/fleet_state.cc
@@ -33,7 +33,7 @@
 constexpr std::size_t own_work_told = 48;
 constexpr std::size_t relayed_work_told = 192;
 // In a fleet of so many peers each is heard in each round, and there is nothing to pass on.
-constexpr std::size_t peers_heard_directly = gateway::peer_rounds_options{}.all_asked;
+constexpr std::size_t peers_heard_directly = gateway::gossip_scheduler_options{}.full_mesh_limit;
 // Daemons that do something for all: compete for the duties, read the endpoints in the store, and
 // look after the configuration. Two of them may fall out at once.
 constexpr std::size_t lead_number = 3;
@@ -85,7 +85,7 @@
       usage({.daemon = s.id, .incarnation = incarnation}, s.usage_window, usage_windows_kept),
       versions(s.trial_part > 0),
       version_calls({.source = {.daemon = s.id, .incarnation = incarnation},
-                     .target_part = trial_margin * s.trial_part})
+                     .target_fraction = trial_margin * s.trial_part})
 {
   endpoints.use_only([this](const gateway::endpoint_record& r) {
     return versions.is_usable({.service = r.service, .version = r.version, .revision = r.revision},
@@ -148,7 +148,7 @@
 
 bool fleet_state::is_ready() const
 {
-  const bool knows_rollouts = !has_rollouts() || versions.known_up_to() > 0;
+  const bool knows_rollouts = !has_rollouts() || versions.rollouts_revision() > 0;
   return knows_rollouts && configuration_ && endpoints.is_known() && !leaving_since_;
 }
 
@@ -293,7 +293,7 @@
 
 void fleet_state::follow_rollouts()
 {
-  version_calls.follow(rollouts);
+  version_calls.update_orders(rollouts);
   endpoints.check_usable();
   std::vector<std::uint64_t> orders;
   for (const auto& [service, e] : rollouts.all()) {
@@ -305,7 +305,7 @@
 
 void fleet_state::take_rollout(const gateway::rollout& known)
 {
-  if (rollouts.note(known)) {
+  if (rollouts.update(known)) {
     follow_rollouts();
   }
 }
@@ -319,8 +319,8 @@
 
 void fleet_state::on_rollouts_read(std::uint64_t revision)
 {
-  const bool was_behind = versions.is_behind();
-  versions.set_known_up_to(revision);
+  const bool was_behind = versions.awaits_rollouts();
+  versions.set_rollouts_revision(revision);
   if (was_behind) {
     endpoints.check_usable();
   }
@@ -328,7 +328,7 @@
 
 std::chrono::milliseconds fleet_state::call_period(double fleet_calls_per_second) const
 {
-  const auto daemons = static_cast<double>(peers.counted(std::chrono::steady_clock::now()));
+  const auto daemons = static_cast<double>(peers.running_count(std::chrono::steady_clock::now()));
   const std::chrono::duration<double> period(daemons / fleet_calls_per_second);
   return std::chrono::duration_cast<std::chrono::milliseconds>(period);
 }
@@ -336,7 +336,7 @@
 gateway::retry_situation fleet_state::retry_situation() const
 {
   const auto now = std::chrono::steady_clock::now();
-  return {.daemons = peers.counted(now),
+  return {.daemons = peers.running_count(now),
           .peers_tell = !live_peers_.empty() && !feed.is_reader() && is_ready()};
 }
 
@@ -356,10 +356,10 @@
   if (live_peers_.size() <= peers_heard_directly) {
     return out;
   }
-  const auto latest = peers.latest(peers_relayed, now);
+  const auto latest = peers.most_recent(peers_relayed, now);
   const auto for_each = relayed_work_told / std::max<std::size_t>(1, latest.size());
   for (const auto& peer : latest) {
-    const auto age = std::chrono::ceil<std::chrono::milliseconds>(now - peer.told_at);
+    const auto age = std::chrono::ceil<std::chrono::milliseconds>(now - peer.as_of);
     const auto& id = peer.contact.id;
     out.push_back({.contact = peer.contact,
                    .age = age,
@@ -386,10 +386,10 @@
 
 void fleet_state::add_what_is_known_of_others(gateway::peer_report& to, mono_time now)
 {
-  to.heard = peers.heard_last(ages_told, now);
+  to.last_seen = peers.most_recently_seen(ages_told, now);
   to.relayed = relayed_peers(now);
   if (to.relayed.empty()) {
-    to.known = contacts_to_tell(now);
+    to.known_daemons = contacts_to_tell(now);
   }
 }
 
@@ -406,9 +406,9 @@
                            .departures = endpoints.departures(now.mono),
                            .terms = endpoints.terms_to_tell(terms_told, now.mono),
                            .endpoints = endpoint_view(now.mono),
-                           .usage = usage.rows(is_silent, usage_rows_told),
+                           .usage = usage.rows_for_peer(is_silent, usage_rows_told),
                            .rollouts = rollouts.all(),
-                           .rollouts_known_up_to = versions.known_up_to(),
+                           .rollouts_revision = versions.rollouts_revision(),
                            .rollout_rows = version_calls.rows(clock.now(now)),
                            .crashes = crashes.news(clock.now(now)),
                            .crash_digest = crashes.digest()};
@@ -438,15 +438,15 @@
     }
   }
   for (const auto& row : told.usage) {
-    usage.absorb(row);
+    usage.merge(row);
   }
   for (const auto& row : told.rollout_rows) {
-    rollout_rows.absorb(row);
+    rollout_rows.merge(row);
   }
-  if (rollouts.absorb(told.rollouts)) {
+  if (rollouts.merge(told.rollouts)) {
     follow_rollouts();
   }
-  on_rollouts_read(told.rollouts_known_up_to);
+  on_rollouts_read(told.rollouts_revision);
   crashes.absorb(told.crashes, clock.now(now));
 }
 
@@ -484,7 +484,7 @@
 
 void fleet_state::tick(const clock_reading& now)
 {
-  const auto daemons = peers.counted(now.mono);
+  const auto daemons = peers.running_count(now.mono);
   retries.set_daemons(daemons);
   const auto live = peers.live(now.mono);
   auto staying = ids_of_staying(live);
@@ -492,17 +492,17 @@
   set_gauges(now.mono);
   log_peer_changes(staying);
   const gateway::fleet_view fleet{.candidates = std::move(staying),
-                                  .heard = live.size() + 1,
-                                  .running = daemons,
+                                  .live_count = live.size() + 1,
+                                  .running_count = daemons,
                                   .leaving = leaving_since_.has_value()};
   quota.set_fleet(fleet, now.mono);
   endpoints.set_fleet(fleet, now.mono);
-  quota.refresh(now.mono);
+  quota.update_demand(now.mono);
   endpoints.tick(now.mono);
   endpoints.refresh_loads(now.mono);
   feed.set_reader(leads(now.mono));
   feed.retain(endpoints.all());
-  version_calls.set_beyond_part(trial_slack_margin * options.trial_slack /
+  version_calls.set_extra_calls(trial_slack_margin * options.trial_slack /
                                 static_cast<double>(daemons));
   usage.forget_old(clock.now(now));
   crashes.tick(clock.now(now));
--- a/src/relay/fleet_state.h
+++ b/src/relay/fleet_state.h
@@ -153,9 +153,9 @@
   gateway::fleet_clock clock;
   gateway::usage_counts usage;
   gateway::crash_suspects crashes{{}};
-  gateway::rollout_book rollouts;
+  gateway::rollout_registry rollouts;
   gateway::version_gate versions;
-  gateway::version_traffic version_calls;
+  gateway::traffic_splitter version_calls;
   gateway::rollout_rows rollout_rows;
 
  private:
--- a/src/relay/peer_sync.cc
+++ b/src/relay/peer_sync.cc
@@ -122,7 +122,7 @@
 
 std::vector<http::socket_address> peer_sync::peers_to_ask(mono_time now) const
 {
-  auto out = state_.peers.addresses_to_ask(now);
+  auto out = state_.peers.addresses_to_contact(now);
   std::erase_if(out, [this](const auto& peer) { return asked_.contains(peer); });
   return out;
 }
@@ -138,8 +138,8 @@
   using extent = fleet_state::report_extent;
   auto leads = state_.other_leads(now);
   std::erase_if(leads, [this](const auto& peer) { return asked_.contains(peer); });
-  const bool large = rounds_.is_large(state_.peers.counted(now));
-  for (const auto& peer : rounds_.next(peers_to_ask(now), leads, now)) {
+  const bool large = rounds_.is_large(state_.peers.running_count(now));
+  for (const auto& peer : rounds_.next_targets(peers_to_ask(now), leads, now)) {
     const bool is_lead = std::find(leads.begin(), leads.end(), peer) != leads.end();
     ask(peer, large && is_lead ? extent::brief : extent::whole);
   }
@@ -148,8 +148,8 @@
 void peer_sync::tell_news(mono_time now)
 {
   using extent = fleet_state::report_extent;
-  const bool large = rounds_.is_large(state_.peers.counted(now));
-  for (const auto& peer : rounds_.next_for_news(peers_to_ask(now))) {
+  const bool large = rounds_.is_large(state_.peers.running_count(now));
+  for (const auto& peer : rounds_.next_urgent_targets(peers_to_ask(now))) {
     ask(peer, large ? extent::brief : extent::whole);
   }
 }
@@ -265,7 +265,7 @@
 void peer_sync::take_report(const gateway::peer_report& told, const http::socket_address& from)
 {
   const auto now = read_clocks();
-  rounds_.on_answer(from, now.mono);
+  rounds_.on_report(from, now.mono);
   state_.absorb(told, now);
   if (told.configuration_version > state_.configuration_version()) {
     fetch_configuration(from);
@@ -301,7 +301,8 @@
 {
   auto decided = state_.quota.admit(workspace, units, std::chrono::steady_clock::now());
   if (decided.outcome == gateway::quota_outcome::ask_owner) {
-    gateway::quota_question question{.workspace = workspace, .units = units, .ask = decided.ask};
+    gateway::quota_request question{
+        .workspace = workspace, .min_units = units, .wanted_units = decided.units_to_request};
     const auto grant = co_await ask_owner(decided.owner, std::move(question));
     decided = state_.quota.on_grant(workspace, units, grant, std::chrono::steady_clock::now());
   }
@@ -309,7 +310,7 @@
 }
 
 asio::awaitable<std::optional<gateway::quota_grant>>
-peer_sync::ask_owner(daemon_id owner, gateway::quota_question question)
+peer_sync::ask_owner(daemon_id owner, gateway::quota_request question)
 {
   const auto address = state_.peers.address_of(owner);
   if (!address) {
@@ -317,7 +318,7 @@
   }
   http::request message{.method = "POST",
                         .target = std::string(quota_target),
-                        .body = encode_quota_question(question)};
+                        .body = encode_quota_request(question)};
   std::string reason;
   try {
     const auto deadline = std::chrono::steady_clock::now() + quota_timeout;
@@ -351,9 +352,9 @@
 
 http::response peer_sync::answer_quota(const http::request& asked)
 {
-  const auto q = gateway::decode_quota_question(asked.body);
-  const auto grant =
-      state_.quota.grant(q.workspace, q.units, q.ask, std::chrono::steady_clock::now());
+  const auto q = gateway::decode_quota_request(asked.body);
+  const auto grant = state_.quota.grant(q.workspace, q.min_units, q.wanted_units,
+                                        std::chrono::steady_clock::now());
   if (!grant) {
     return {.status = http::status::unavailable};
   }
--- a/src/relay/peer_sync.h
+++ b/src/relay/peer_sync.h
@@ -47,7 +47,7 @@
   gateway::peer_report unpack_report(const std::string& body,
                                      const http::headers& fields); // throws peer_report_error
   boost::asio::awaitable<std::optional<gateway::quota_grant>>
-  ask_owner(daemon_id owner, gateway::quota_question question);
+  ask_owner(daemon_id owner, gateway::quota_request question);
   http::response answer_report(const http::request& asked);
   http::response answer_quota(const http::request& asked);
   // Something that a peer knows of and this daemon does not.
@@ -81,7 +81,7 @@
   http::server server_;
   boost::asio::steady_timer wait_;
   std::set<http::socket_address> asked_; // exchanges under way
-  gateway::peer_rounds rounds_;
+  gateway::gossip_scheduler rounds_;
   std::map<fleet_state::report_extent, made_report> made_;
   bool hurried_ = false;
   mono_time next_round_;
--- a/src/relay/rollout_sync.cc
+++ b/src/relay/rollout_sync.cc
@@ -44,7 +44,7 @@
 asio::awaitable<void> rollout_sync::watch()
 {
   for (unsigned failures = 0;;) {
-    const auto after = state_.versions.known_up_to();
+    const auto after = state_.versions.rollouts_revision();
     if (after == 0 || !state_.leads(std::chrono::steady_clock::now())) {
       co_await pause(lead_check_period);
       continue;
@@ -101,7 +101,7 @@
 
 bool rollout_sync::is_list_due(mono_time now)
 {
-  if (!state_.versions.is_behind()) {
+  if (!state_.versions.awaits_rollouts()) {
     behind_since_.reset();
     return list_wanted_ || lacks_stored();
   }
@@ -198,7 +198,7 @@
       continue;
     }
     for (const auto& row : state_.version_calls.rows(state_.clock.now(now))) {
-      state_.rollout_rows.absorb(row);
+      state_.rollout_rows.merge(row);
     }
     conductor_.retain(state_.rollouts);
     std::vector<gateway::rollout> orders;
@@ -237,7 +237,7 @@
   if (!gateway::is_open(order)) {
     return;
   }
-  if (const auto stopped = conductor_.stop_if_bad(order, state_.rollout_rows, now)) {
+  if (const auto stopped = conductor_.roll_back_if_bad(order, state_.rollout_rows, now)) {
     take_step(*stopped, order);
   }
 }
@@ -293,22 +293,22 @@
   co_return reply.result == adapter::store_result::done;
 }
 
-gateway::fleet_standing rollout_sync::standing(mono_time now) const
+gateway::fleet_status rollout_sync::standing(mono_time now) const
 {
-  gateway::fleet_standing out{.live = {state_.options.id}};
+  gateway::fleet_status out{.live = {state_.options.id}};
   for (const auto& peer : state_.peers.live(now)) {
     out.live.push_back(peer.id);
   }
-  out.some_silent = state_.peers.counted(now) > out.live.size();
+  out.has_silent_daemons = state_.peers.running_count(now) > out.live.size();
   return out;
 }
 
-gateway::version_endpoints rollout_sync::endpoints_of(const gateway::rollout& order) const
+gateway::version_endpoint_counts rollout_sync::endpoints_of(const gateway::rollout& order) const
 {
-  gateway::version_endpoints out;
+  gateway::version_endpoint_counts out;
   for (const auto* e : state_.endpoints.serving(order.service)) {
     if (e->version != order.target) {
-      ++out.present;
+      ++out.baseline;
     } else if (!e->cold) {
       ++out.target;
     }
--- a/src/relay/rollout_sync.h
+++ b/src/relay/rollout_sync.h
@@ -58,13 +58,13 @@
   // Writes the order's state as it is to be, unless the store holds it. True if it does then.
   boost::asio::awaitable<bool> write_status(gateway::rollout order);
   void take_step(const gateway::rollout& next, const gateway::rollout& before);
-  [[nodiscard]] gateway::fleet_standing standing(mono_time now) const;
-  [[nodiscard]] gateway::version_endpoints endpoints_of(const gateway::rollout& order) const;
+  [[nodiscard]] gateway::fleet_status standing(mono_time now) const;
+  [[nodiscard]] gateway::version_endpoint_counts endpoints_of(const gateway::rollout& order) const;
 
   boost::asio::io_context& context_;
   fleet_state& state_;
   store_client& store_;
-  gateway::rollout_conductor conductor_{{}};
+  gateway::rollout_controller conductor_{{}};
   std::map<std::string, stored_order> stored_; // by service
   std::optional<mono_time> behind_since_;
   bool list_wanted_ = true;
--- a/test/adapter/documents_test.cc
+++ b/test/adapter/documents_test.cc
@@ -41,7 +41,7 @@
                                 .resumable = true,
                                 .timeout = 15s,
                                 .target_latency = 1'200ms,
-                                .longest_pause = 800ms,
+                                .max_event_gap = 800ms,
                                 .priority = 1,
                                 .max_attempts = 2,
                                 .services = {{"s-1", 90}, {"s-2", 10}}};
@@ -53,7 +53,7 @@
 TEST_F(ConfigurationDocumentTest, HoldsServices)
 {
   EXPECT_EQ(read_.services.at(0).engine->batch_places, 64U);
-  EXPECT_EQ(read_.services.at(0).scaling->start_time, 4s);
+  EXPECT_EQ(read_.services.at(0).scaling->startup_time, 4s);
   EXPECT_EQ(read_.services.at(0).scaling->zone_prices.at(availability_zone("z-b")), 0.8);
   EXPECT_FALSE(read_.services.at(1).scaling);
 }
@@ -66,7 +66,7 @@
                                                .rate = 142'712,
                                                .burst = 1'000,
                                                .counts_tokens = true,
-                                               .unsized_tokens = 200};
+                                               .default_request_tokens = 200};
   EXPECT_EQ(read_.workspaces.at(0), expected);
 }
 
--- a/test/adapter/duty_calls_test.cc
+++ b/test/adapter/duty_calls_test.cc
@@ -22,18 +22,18 @@
 
 TEST(DutyCallsTest, OrderEndpoints)
 {
-  gateway::endpoint_order order{.subject = {.service = "s", .zone = availability_zone("z")},
+  gateway::endpoint_order order{.group = {.service = "s", .zone = availability_zone("z")},
                                 .wanted = 6};
   EXPECT_EQ(order_call(stamp, order).body, R"({"service":"s","zone":"z","desired":6})");
-  order.subject.reclaimable = true;
+  order.group.reclaimable = true;
   EXPECT_EQ(order_call(stamp, order).body, R"({"service":"s","zone":"z","desired":6,"spot":true})");
 }
 
 TEST(DutyCallsTest, ReadTheAnswerToAnOrder)
 {
-  EXPECT_EQ(decode_order_answer(200), gateway::order_answer::taken);
-  EXPECT_EQ(decode_order_answer(409), gateway::order_answer::sold_out);
-  EXPECT_EQ(decode_order_answer(503), gateway::order_answer::lost);
+  EXPECT_EQ(decode_order_answer(200), gateway::order_result::accepted);
+  EXPECT_EQ(decode_order_answer(409), gateway::order_result::sold_out);
+  EXPECT_EQ(decode_order_answer(503), gateway::order_result::unanswered);
 }
 
 } // namespace
--- a/test/gateway/configuration_test.cc
+++ b/test/gateway/configuration_test.cc
@@ -19,7 +19,7 @@
   configuration_index index_{declared()};
 };
 
-TEST_F(ConfigurationIndexTest, TakesTheLongestPrefix)
+TEST_F(ConfigurationIndexTest, MatchesTheLongestPrefix)
 {
   EXPECT_EQ(index_.match("shop.example", "/orders/7")->name, "orders");
   EXPECT_EQ(index_.match("shop.example", "/other")->name, "shop");
@@ -30,7 +30,7 @@
   EXPECT_EQ(index_.match("SHOP.example:8080", "/orders/7")->name, "orders");
 }
 
-TEST_F(ConfigurationIndexTest, KnowsNoRouteOfAnotherHost)
+TEST_F(ConfigurationIndexTest, FindsNoRouteOfAnUndeclaredHost)
 {
   EXPECT_EQ(index_.match("other.example", "/orders/7"), nullptr);
 }
--- a/test/gateway/fleet_clock_test.cc
+++ b/test/gateway/fleet_clock_test.cc
@@ -12,34 +12,37 @@
 
 class FleetClockTest : public testing::Test {
  protected:
-  void hear(const char* peer, wall_time wall) { clock_.on_reading(daemon_id(peer), wall, start); }
+  void read_peer(const char* peer, wall_time wall)
+  {
+    clock_.on_reading(daemon_id(peer), wall, start);
+  }
 
   fleet_clock clock_{4s};
 };
 
-TEST_F(FleetClockTest, GoesByItsOwnClockAlone)
+TEST_F(FleetClockTest, UsesItsOwnClockWithoutPeers)
 {
   EXPECT_EQ(clock_.now({.mono = start, .wall = noon}), noon);
 }
 
 TEST_F(FleetClockTest, DoesNotFollowAJumpOfItsOwnClock)
 {
-  hear("a", noon);
-  hear("b", noon + 2ms);
+  read_peer("a", noon);
+  read_peer("b", noon + 2ms);
   EXPECT_EQ(clock_.now({.mono = start + 1s, .wall = noon + 1s + 1h}), noon + 1s + 2ms);
 }
 
 TEST_F(FleetClockTest, DoesNotFollowAJumpOfAPeersClock)
 {
-  hear("a", noon - 1h);
-  hear("b", noon);
+  read_peer("a", noon - 1h);
+  read_peer("b", noon);
   EXPECT_EQ(clock_.now({.mono = start, .wall = noon + 3ms}), noon);
 }
 
 TEST_F(FleetClockTest, ForgetsOldReadings)
 {
-  hear("a", noon + 1h);
-  hear("b", noon + 1h);
+  read_peer("a", noon + 1h);
+  read_peer("b", noon + 1h);
   EXPECT_EQ(clock_.now({.mono = start + 5s, .wall = noon}), noon);
 }
 
--- a/test/gateway/peer_report_test.cc
+++ b/test/gateway/peer_report_test.cc
@@ -17,14 +17,14 @@
           .acting = true};
 }
 
-TEST(PeerReportTest, ComesBackAsItWasSent)
+TEST(PeerReportTest, SurvivesEncoding)
 {
   const peer_report sent{
       .self = contact("a", 1),
       .configuration_version = 9,
       .clock = from_unix_ms(1'234'567),
-      .known = {contact("b", 2)},
-      .heard = {{.id = daemon_id("b"), .age = std::chrono::milliseconds(40)}},
+      .known_daemons = {contact("b", 2)},
+      .last_seen = {{.id = daemon_id("b"), .age = std::chrono::milliseconds(40)}},
       .work = {{endpoint_id("e"), {.waiting = 1, .running = 2, .waiting_tokens = 3'000}}},
       .prefill = {{"chat", 1'500.5}},
       .departures = {{.id = endpoint_id("f"), .revision = 44}},
@@ -44,7 +44,7 @@
   EXPECT_EQ(decode_peer_report(encode_peer_report(sent)), sent);
 }
 
-TEST(PeerReportTest, EndpointChangesComeBackAsTheyWereSent)
+TEST(PeerReportTest, EndpointChangesSurviveEncoding)
 {
   const endpoint_changes sent{.view = {.revision = 50,
                                        .changed = 44,
@@ -63,23 +63,24 @@
   EXPECT_THROW(static_cast<void>(decode_endpoint_changes("{}")), peer_report_error);
 }
 
-TEST(PeerReportTest, RejectsWhatItCannotRead)
+TEST(PeerReportTest, RejectsUnreadableMessages)
 {
   EXPECT_THROW(static_cast<void>(decode_peer_report("{}")), peer_report_error);
   EXPECT_THROW(static_cast<void>(decode_peer_report("not json")), peer_report_error);
 }
 
-TEST(PeerReportTest, QuotaQuestionAndGrantComeBackAsTheyWereSent)
+TEST(PeerReportTest, QuotaRequestAndGrantSurviveEncoding)
 {
-  const quota_question question{.workspace = workspace_id("hotel"), .units = 12.5, .ask = 20};
-  EXPECT_EQ(decode_quota_question(encode_quota_question(question)), question);
+  const quota_request request{
+      .workspace = workspace_id("hotel"), .min_units = 12.5, .wanted_units = 20};
+  EXPECT_EQ(decode_quota_request(encode_quota_request(request)), request);
   const quota_grant grant{.units = 20, .retry_after = std::chrono::milliseconds(30)};
   EXPECT_EQ(decode_quota_grant(encode_quota_grant(grant)), grant);
 }
 
 using namespace std::chrono_literals;
 
-TEST(PeerReportTest, PassesOnWhatOthersTold)
+TEST(PeerReportTest, RelayedStatesSurviveEncoding)
 {
   peer_report report{.self = contact("a", 1)};
   report.relayed = {
@@ -90,26 +91,26 @@
   EXPECT_EQ(decode_peer_report(encode_peer_report(report)), report);
 }
 
-TEST(PeerReportTest, TakesNothingFromTheFuture)
+TEST(PeerReportTest, NegativeAgesAreReadAsZero)
 {
   peer_report report{.self = contact("a", 1)};
-  report.heard = {{.id = daemon_id("c"), .age = -5s}};
+  report.last_seen = {{.id = daemon_id("c"), .age = -5s}};
   report.relayed = {{.contact = contact("b", 2), .age = -5s}};
   const auto read = decode_peer_report(encode_peer_report(report));
-  EXPECT_EQ(read.heard.front().age, 0ms);
+  EXPECT_EQ(read.last_seen.front().age, 0ms);
   EXPECT_EQ(read.relayed.front().age, 0ms);
 }
 
-TEST(PeerReportAgeTest, WhatItTellsOfTimeMovesOnWithItsAge)
+TEST(PeerReportAgeTest, AgesAndClockAdvanceWithTheReportsAge)
 {
   peer_report made;
   made.clock = wall_time{100s};
-  made.heard = {{.id = daemon_id("a"), .age = 200ms}};
+  made.last_seen = {{.id = daemon_id("a"), .age = 200ms}};
   made.endpoints.age = 300ms;
   made.terms = {{.process = {.id = endpoint_id("e")}, .age = 400ms}};
   const auto sent = aged_by(made, 50ms);
   EXPECT_EQ(sent.clock, wall_time{100'050ms});
-  EXPECT_EQ(sent.heard.front().age, 250ms);
+  EXPECT_EQ(sent.last_seen.front().age, 250ms);
   EXPECT_EQ(sent.endpoints.age, 350ms);
   EXPECT_EQ(sent.terms.front().age, 450ms);
 }
--- a/test/gateway/peer_rounds_test.cc
+++ b/test/gateway/peer_rounds_test.cc
@@ -12,7 +12,7 @@
 
 const mono_time start{1'000s};
 
-class PeerRoundsTest : public testing::Test {
+class GossipSchedulerTest : public testing::Test {
  protected:
   static std::vector<http::socket_address> peers(std::uint16_t number)
   {
@@ -23,69 +23,69 @@
     return out;
   }
 
-  peer_rounds rounds_{{.period = 400ms}, 1};
+  gossip_scheduler scheduler_{{.period = 400ms}, 1};
 };
 
-TEST_F(PeerRoundsTest, AsksAllOfASmallFleet)
+TEST_F(GossipSchedulerTest, AsksAllOfASmallFleet)
 {
-  EXPECT_EQ(rounds_.next(peers(7), {}, start).size(), 7U);
+  EXPECT_EQ(scheduler_.next_targets(peers(7), {}, start).size(), 7U);
 }
 
-TEST_F(PeerRoundsTest, AsksAFewOfALargeFleet)
+TEST_F(GossipSchedulerTest, AsksAFewOfALargeFleet)
 {
-  EXPECT_EQ(rounds_.next(peers(62), {}, start).size(), 3U);
+  EXPECT_EQ(scheduler_.next_targets(peers(62), {}, start).size(), 3U);
 }
 
-TEST_F(PeerRoundsTest, HearsEveryPeerOfALargeFleetInAsManyRoundsAsItNeeds)
+TEST_F(GossipSchedulerTest, AsksEveryPeerOfALargeFleetWithinTheFewestPossibleRounds)
 {
-  std::set<http::socket_address> heard;
+  std::set<http::socket_address> asked;
   for (int round = 0; round < 21; ++round) {
     const auto now = start + round * 400ms;
-    for (const auto& peer : rounds_.next(peers(62), {}, now)) {
-      rounds_.on_answer(peer, now);
-      heard.insert(peer);
+    for (const auto& peer : scheduler_.next_targets(peers(62), {}, now)) {
+      scheduler_.on_report(peer, now);
+      asked.insert(peer);
     }
   }
-  EXPECT_EQ(heard.size(), 62U);
+  EXPECT_EQ(asked.size(), 62U);
 }
 
-TEST_F(PeerRoundsTest, AsksOneOfTheLeadsOfALargeFleetInEverySecondRound)
+TEST_F(GossipSchedulerTest, AsksOneOfTheCoordinatorsOfALargeFleetInEverySecondRound)
 {
   const auto known = peers(62);
-  const std::vector<http::socket_address> leads(known.end() - 3, known.end());
+  const std::vector<http::socket_address> coordinators(known.end() - 3, known.end());
   std::map<http::socket_address, int> asked;
   for (int round = 0; round < 30; ++round) {
     const auto now = start + round * 400ms;
-    for (const auto& peer : rounds_.next(known, leads, now)) {
-      rounds_.on_answer(peer, now);
+    for (const auto& peer : scheduler_.next_targets(known, coordinators, now)) {
+      scheduler_.on_report(peer, now);
       ++asked[peer];
     }
   }
-  for (const auto& lead : leads) {
-    EXPECT_GE(asked[lead], 4); // in thirty rounds
+  for (const auto& coordinator : coordinators) {
+    EXPECT_GE(asked[coordinator], 4); // in thirty rounds
   }
 }
 
-TEST_F(PeerRoundsTest, LeavesOutAPeerThatHasJustAsked)
+TEST_F(GossipSchedulerTest, LeavesOutAPeerThatHasJustReported)
 {
-  rounds_.on_answer(peers(1).front(), start);
-  EXPECT_TRUE(rounds_.next(peers(1), {}, start + 100ms).empty());
-  EXPECT_FALSE(rounds_.next(peers(1), {}, start + 300ms).empty());
+  scheduler_.on_report(peers(1).front(), start);
+  EXPECT_TRUE(scheduler_.next_targets(peers(1), {}, start + 100ms).empty());
+  EXPECT_FALSE(scheduler_.next_targets(peers(1), {}, start + 300ms).empty());
 }
 
-TEST_F(PeerRoundsTest, AsksSilentAddressesSeldom)
+TEST_F(GossipSchedulerTest, AsksSilentAddressesLessOften)
 {
   std::size_t asked = 0;
   for (int round = 0; round < 20; ++round) {
-    asked += rounds_.next(peers(1), {}, start + round * 400ms).size();
+    asked += scheduler_.next_targets(peers(1), {}, start + round * 400ms).size();
   }
   EXPECT_EQ(asked, 5U + 3U); // of twenty rounds
 }
 
-TEST_F(PeerRoundsTest, TellsNewsToPeersThatHaveJustAsked)
+TEST_F(GossipSchedulerTest, SendsUrgentUpdatesToPeersThatHaveJustReported)
 {
-  rounds_.on_answer(peers(1).front(), start);
-  EXPECT_EQ(rounds_.next_for_news(peers(1)).size(), 1U);
+  scheduler_.on_report(peers(1).front(), start);
+  EXPECT_EQ(scheduler_.next_urgent_targets(peers(1)).size(), 1U);
 }
 
 } // namespace
--- a/test/gateway/peers_work_test.cc
+++ b/test/gateway/peers_work_test.cc
@@ -14,69 +14,70 @@
 const endpoint_id here("e1");
 const endpoint_id there("e2");
 
-class PeersWorkTest : public testing::Test {
+class PeerWorkTotalsTest : public testing::Test {
  protected:
-  peers_work peers_{3'500ms};
+  peer_work_totals peers_{3'500ms};
 };
 
-TEST_F(PeersWorkTest, AddsUpWhatPeersHaveAtAnEndpoint)
+TEST_F(PeerWorkTotalsTest, AddsUpTheWorkOfPeersAtAnEndpoint)
 {
   peers_.on_work(first, {{here, {.waiting = 1, .running = 2, .waiting_tokens = 300}}}, start);
   peers_.on_work(second, {{here, {.waiting = 4, .running = 1, .waiting_tokens = 50}}}, start);
-  EXPECT_EQ(peers_.at(here), (endpoint_work{.waiting = 5, .running = 3, .waiting_tokens = 350}));
+  EXPECT_EQ(peers_.total_at(here),
+            (endpoint_work{.waiting = 5, .running = 3, .waiting_tokens = 350}));
 }
 
-TEST_F(PeersWorkTest, ANewReportTakesThePlaceOfTheOneBefore)
+TEST_F(PeerWorkTotalsTest, ANewReportReplacesTheOneBefore)
 {
   peers_.on_work(first, {{here, {.waiting = 3}}}, start);
   peers_.on_work(first, {{there, {.running = 1}}}, start + 1s);
-  EXPECT_EQ(peers_.at(here), endpoint_work{});
-  EXPECT_EQ(peers_.at(there), endpoint_work{.running = 1});
+  EXPECT_EQ(peers_.total_at(here), endpoint_work{});
+  EXPECT_EQ(peers_.total_at(there), endpoint_work{.running = 1});
 }
 
-TEST_F(PeersWorkTest, WhatAPeerToldLongAgoNoLongerCounts)
+TEST_F(PeerWorkTotalsTest, AnExpiredReportNoLongerCounts)
 {
   peers_.on_work(first, {{here, {.waiting = 3}}}, start);
   peers_.on_work(second, {{here, {.waiting = 1}}}, start + 2s);
   peers_.expire(start + 4s);
-  EXPECT_EQ(peers_.at(here), endpoint_work{.waiting = 1});
-  EXPECT_EQ(peers_.number(), 1U);
+  EXPECT_EQ(peers_.total_at(here), endpoint_work{.waiting = 1});
+  EXPECT_EQ(peers_.peer_count(), 1U);
 }
 
-TEST_F(PeersWorkTest, OlderNewsOfAPeerChangeNothing)
+TEST_F(PeerWorkTotalsTest, AnOlderReportOfAPeerIsIgnored)
 {
   peers_.on_work(first, {{here, {.waiting = 3}}}, start + 1s);
   peers_.on_work(first, {{here, {.waiting = 9}}}, start);
-  EXPECT_EQ(peers_.at(here), endpoint_work{.waiting = 3});
+  EXPECT_EQ(peers_.total_at(here), endpoint_work{.waiting = 3});
 }
 
-TEST_F(PeersWorkTest, WhatWasToldOfTheProcessBeforeARestartIsForgotten)
+TEST_F(PeerWorkTotalsTest, ReportsAboutTheProcessBeforeARestartAreDropped)
 {
   peers_.on_work(first, {{here, {.waiting = 3}}, {there, {.waiting = 1}}}, start);
-  peers_.forget(here);
-  EXPECT_EQ(peers_.at(here), endpoint_work{});
+  peers_.forget_endpoint(here);
+  EXPECT_EQ(peers_.total_at(here), endpoint_work{});
   EXPECT_EQ(peers_.work_of(first), (endpoint_work_map{{there, {.waiting = 1}}}));
 }
 
-TEST_F(PeersWorkTest, AddsUpTheDemandForAService)
+TEST_F(PeerWorkTotalsTest, AddsUpTheDemandForAService)
 {
   peers_.on_prefill(first, {{"chat", 100.0}, {"other", 7.0}}, start);
   peers_.on_prefill(second, {{"chat", 50.0}}, start);
-  EXPECT_DOUBLE_EQ(peers_.prefill("chat"), 150);
+  EXPECT_DOUBLE_EQ(peers_.total_prefill("chat"), 150);
 }
 
-TEST_F(PeersWorkTest, AnEntryThatSaysNothingDoesNoHarm)
+TEST_F(PeerWorkTotalsTest, AnEmptyEntryDoesNoHarm)
 {
   peers_.on_work(first, {{here, {}}}, start);
   peers_.on_work(first, {}, start + 1s);
-  EXPECT_EQ(peers_.at(here), endpoint_work{});
+  EXPECT_EQ(peers_.total_at(here), endpoint_work{});
 }
 
-TEST(PeersWorkPropertyTest, SumsEqualThoseFormedAnew)
+TEST(PeerWorkTotalsPropertyTest, SumsEqualThoseRecomputedFromAllReports)
 {
   rc::check([] {
-    peers_work peers(3'500ms);
-    std::map<daemon_id, std::pair<endpoint_work_map, mono_time>> told;
+    peer_work_totals peers(3'500ms);
+    std::map<daemon_id, std::pair<endpoint_work_map, mono_time>> reported;
     auto now = start;
     const auto steps = *rc::gen::inRange(1, 40);
     for (int i = 0; i < steps; ++i) {
@@ -90,11 +91,11 @@
                     .waiting_tokens = *rc::gen::inRange(0U, 9'000U)};
       }
       peers.on_work(peer, work, now);
-      told[peer] = {work, now};
+      reported[peer] = {work, now};
     }
     peers.expire(now);
     endpoint_work_map expected;
-    for (const auto& [peer, it] : told) {
+    for (const auto& [peer, it] : reported) {
       for (const auto& [id, w] : it.first) {
         const bool counts = now < it.second + 3'500ms;
         expected[id].waiting += counts ? w.waiting : 0;
@@ -103,7 +104,7 @@
       }
     }
     for (const auto& [id, w] : expected) {
-      RC_ASSERT(peers.at(id) == w);
+      RC_ASSERT(peers.total_at(id) == w);
     }
   });
 }
--- a/test/gateway/rate_shares_test.cc
+++ b/test/gateway/rate_shares_test.cc
@@ -45,8 +45,8 @@
     for (const auto& id : heard) {
       auto others = heard;
       std::erase(others, id);
-      fleet_.at(id).set_fleet({.candidates = others, .heard = heard.size(), .running = running},
-                              now_);
+      fleet_.at(id).set_fleet(
+          {.candidates = others, .live_count = heard.size(), .running_count = running}, now_);
     }
   }
 
--- a/test/gateway/rollout_test.cc
+++ b/test/gateway/rollout_test.cc
@@ -32,40 +32,40 @@
   return r;
 }
 
-TEST(RolloutTest, ABadVersionWinsOverTrafficThatMoves)
+TEST(RolloutTest, RolledBackWinsOverMoving)
 {
   const auto order = order_to("v2", 5);
   const auto moving = in_phase(order, rollout_phase::moving);
   const auto bad = in_phase(order, rollout_phase::rolled_back);
-  EXPECT_EQ(joined(moving, bad).phase, rollout_phase::rolled_back);
-  EXPECT_EQ(joined(bad, moving).phase, rollout_phase::rolled_back);
+  EXPECT_EQ(merged(moving, bad).phase, rollout_phase::rolled_back);
+  EXPECT_EQ(merged(bad, moving).phase, rollout_phase::rolled_back);
 }
 
-TEST(RolloutTest, WhatTheStoreHoldsAsSucceededStaysSo)
+TEST(RolloutTest, SucceededWinsOverRolledBack)
 {
   const auto order = order_to("v2", 5);
   const auto done = in_phase(order, rollout_phase::succeeded);
   const auto bad = in_phase(order, rollout_phase::rolled_back);
-  EXPECT_EQ(joined(bad, done).phase, rollout_phase::succeeded);
+  EXPECT_EQ(merged(bad, done).phase, rollout_phase::succeeded);
 }
 
-TEST(RolloutTest, TheEarliestNoticeSetsTheDeadline)
+TEST(RolloutTest, TheEarliestDeadlineIsKept)
 {
   const auto early = order_to("v2", 5);
   auto late = early;
   late.ordered_at += 3s;
   late.deadline += 3s;
-  EXPECT_EQ(joined(late, early).deadline, early.deadline);
+  EXPECT_EQ(merged(late, early).deadline, early.deadline);
 }
 
-TEST(RolloutTest, TrafficMovesLittleByLittle)
+TEST(RolloutTest, TrafficMovesGradually)
 {
   auto order = order_to("v2", 5, rollout_phase::moving);
-  order.moves_from = start;
-  order.moved_by = start + 2s;
-  EXPECT_EQ(order.moved_part(start), 0);
-  EXPECT_DOUBLE_EQ(order.moved_part(start + 500ms), 0.25);
-  EXPECT_EQ(order.moved_part(start + 2s), 1);
+  order.move_starts_at = start;
+  order.move_ends_at = start + 2s;
+  EXPECT_EQ(order.moved_fraction(start), 0);
+  EXPECT_DOUBLE_EQ(order.moved_fraction(start + 500ms), 0.25);
+  EXPECT_EQ(order.moved_fraction(start + 2s), 1);
 }
 
 TEST(RolloutTest, OnlyTheVersionThatTrafficMovesToCarriesIt)
@@ -77,97 +77,97 @@
   EXPECT_TRUE(carries_traffic(in_phase(order, rollout_phase::rolled_back), "v1"));
 }
 
-TEST(RolloutBookTest, RefusesABadVersionAndNoOther)
+TEST(RolloutRegistryTest, RefusesABadVersionAndNoOther)
 {
-  rollout_book book;
-  book.note(order_to("v2", 5, rollout_phase::rolled_back));
-  EXPECT_TRUE(book.is_refused("chat", "v2"));
-  EXPECT_FALSE(book.is_refused("chat", "v1"));
-  EXPECT_FALSE(book.is_refused("portal", "v2"));
+  rollout_registry registry;
+  registry.update(order_to("v2", 5, rollout_phase::rolled_back));
+  EXPECT_TRUE(registry.is_refused("chat", "v2"));
+  EXPECT_FALSE(registry.is_refused("chat", "v1"));
+  EXPECT_FALSE(registry.is_refused("portal", "v2"));
 }
 
-TEST(RolloutBookTest, RefusesEveryOtherVersionOnceOneHasSucceeded)
+TEST(RolloutRegistryTest, RefusesEveryOtherVersionOnceOneHasSucceeded)
 {
-  rollout_book book;
-  book.note(order_to("v2", 5, rollout_phase::succeeded));
-  EXPECT_TRUE(book.is_refused("chat", "v1"));
-  EXPECT_FALSE(book.is_refused("chat", "v2"));
+  rollout_registry registry;
+  registry.update(order_to("v2", 5, rollout_phase::succeeded));
+  EXPECT_TRUE(registry.is_refused("chat", "v1"));
+  EXPECT_FALSE(registry.is_refused("chat", "v2"));
 }
 
-TEST(RolloutBookTest, AReplacedOrderLeavesItsVersionRefused)
+TEST(RolloutRegistryTest, AReplacedOrderLeavesItsVersionRefused)
 {
-  rollout_book book;
-  book.note(order_to("v2", 5));
-  EXPECT_TRUE(book.note(order_to("v3", 9)));
-  EXPECT_TRUE(book.is_refused("chat", "v2"));
-  EXPECT_FALSE(book.is_refused("chat", "v3"));
+  rollout_registry registry;
+  registry.update(order_to("v2", 5));
+  EXPECT_TRUE(registry.update(order_to("v3", 9)));
+  EXPECT_TRUE(registry.is_refused("chat", "v2"));
+  EXPECT_FALSE(registry.is_refused("chat", "v3"));
 }
 
-TEST(RolloutBookTest, AVersionThatSucceededStaysInUseBesideTheNextOrder)
+TEST(RolloutRegistryTest, AVersionThatSucceededStaysInUseBesideTheNextOrder)
 {
-  rollout_book book;
-  book.note(order_to("v2", 5, rollout_phase::succeeded));
-  book.note(order_to("v3", 9));
-  EXPECT_FALSE(book.is_refused("chat", "v2"));
+  rollout_registry registry;
+  registry.update(order_to("v2", 5, rollout_phase::succeeded));
+  registry.update(order_to("v3", 9));
+  EXPECT_FALSE(registry.is_refused("chat", "v2"));
 }
 
-TEST(RolloutBookTest, AVersionThatIsOrderedAgainIsTriedAgain)
+TEST(RolloutRegistryTest, AVersionThatIsOrderedAgainGetsANewTrial)
 {
-  rollout_book book;
-  book.note(order_to("v2", 5, rollout_phase::rolled_back));
-  book.note(order_to("v2", 9));
-  EXPECT_FALSE(book.is_refused("chat", "v2"));
-  EXPECT_EQ(book.find("chat")->phase, rollout_phase::trial);
+  rollout_registry registry;
+  registry.update(order_to("v2", 5, rollout_phase::rolled_back));
+  registry.update(order_to("v2", 9));
+  EXPECT_FALSE(registry.is_refused("chat", "v2"));
+  EXPECT_EQ(registry.find("chat")->phase, rollout_phase::trial);
 }
 
-TEST(RolloutBookTest, OldNewsChangeNothing)
+TEST(RolloutRegistryTest, OldUpdatesChangeNothing)
 {
-  rollout_book book;
-  book.note(order_to("v3", 9));
-  EXPECT_FALSE(book.note(order_to("v3", 9)));
-  book.note(order_to("v2", 5, rollout_phase::moving));
-  EXPECT_EQ(book.find("chat")->target, "v3");
+  rollout_registry registry;
+  registry.update(order_to("v3", 9));
+  EXPECT_FALSE(registry.update(order_to("v3", 9)));
+  registry.update(order_to("v2", 5, rollout_phase::moving));
+  EXPECT_EQ(registry.find("chat")->target, "v3");
 }
 
-TEST(RolloutBookTest, AWithdrawnOrderIsRolledBack)
+TEST(RolloutRegistryTest, AWithdrawnOrderIsRolledBack)
 {
-  rollout_book book;
-  book.note(order_to("v2", 5));
-  EXPECT_TRUE(book.withdraw("chat", 7));
-  EXPECT_TRUE(book.is_refused("chat", "v2"));
-  EXPECT_FALSE(book.withdraw("chat", 8));
+  rollout_registry registry;
+  registry.update(order_to("v2", 5));
+  EXPECT_TRUE(registry.withdraw("chat", 7));
+  EXPECT_TRUE(registry.is_refused("chat", "v2"));
+  EXPECT_FALSE(registry.withdraw("chat", 8));
 }
 
-TEST(RolloutBookTest, TravelsWhole)
+TEST(RolloutRegistryTest, SurvivesEncoding)
 {
-  rollout_book book;
-  book.note(order_to("v2", 5));
-  book.note(order_to("v3", 9, rollout_phase::moving));
-  EXPECT_EQ(decode_rollouts(encode_rollouts(book.all())), book.all());
+  rollout_registry registry;
+  registry.update(order_to("v2", 5));
+  registry.update(order_to("v3", 9, rollout_phase::moving));
+  EXPECT_EQ(decode_rollouts(encode_rollouts(registry.all())), registry.all());
 }
 
-RC_GTEST_PROP(RolloutBookTest, DaemonsEndWithTheSameInWhateverOrderNewsCome, ())
+RC_GTEST_PROP(RolloutRegistryTest, DaemonsConvergeInWhateverOrderUpdatesArrive, ())
 {
-  // Orders that follow one another, each told in several phases.
-  std::vector<rollout> news;
+  // Successive orders, each updated in several phases.
+  std::vector<rollout> orders;
   for (const std::uint64_t revision : {5U, 9U, 14U}) {
     const auto version = "v" + std::to_string(*rc::gen::inRange(2, 5));
-    const auto told = *rc::gen::inRange(1, 4);
-    for (int i = 0; i < told; ++i) {
-      news.push_back(order_to(version, revision,
-                              *rc::gen::element(rollout_phase::trial, rollout_phase::moving,
-                                                rollout_phase::rolled_back)));
+    const auto updates = *rc::gen::inRange(1, 4);
+    for (int i = 0; i < updates; ++i) {
+      orders.push_back(order_to(version, revision,
+                                *rc::gen::element(rollout_phase::trial, rollout_phase::moving,
+                                                  rollout_phase::rolled_back)));
     }
   }
   std::mt19937 random(*rc::gen::arbitrary<unsigned>());
-  rollout_book first;
-  rollout_book second;
-  for (const auto& r : news) {
-    first.note(r);
+  rollout_registry first;
+  rollout_registry second;
+  for (const auto& r : orders) {
+    first.update(r);
   }
-  std::shuffle(news.begin(), news.end(), random);
-  for (const auto& r : news) {
-    second.note(r);
+  std::shuffle(orders.begin(), orders.end(), random);
+  for (const auto& r : orders) {
+    second.update(r);
   }
   RC_ASSERT(first.find("chat")->order == second.find("chat")->order);
   RC_ASSERT(first.find("chat")->phase == second.find("chat")->phase);
--- a/test/gateway/usage_counts_test.cc
+++ b/test/gateway/usage_counts_test.cc
@@ -27,64 +27,64 @@
 
 TEST_F(UsageCountsTest, SumsTheFleet)
 {
-  counts_.began(hotel, at_);
-  counts_.absorb({.source = other, .window = window_, .counts = {{hotel, 4}}});
+  counts_.record_start(hotel, at_);
+  counts_.merge({.source = other, .window = window_, .counts = {{hotel, 4}}});
   EXPECT_EQ(counts_.total(window_), (window_counts{{hotel, 5}}));
 }
 
-TEST_F(UsageCountsTest, TakesAnOldOrDoubledRowWithoutHarm)
+TEST_F(UsageCountsTest, IgnoresAnOldOrDuplicateRow)
 {
-  counts_.absorb({.source = other, .window = window_, .counts = {{hotel, 4}}});
-  counts_.absorb({.source = other, .window = window_, .counts = {{hotel, 3}}});
+  counts_.merge({.source = other, .window = window_, .counts = {{hotel, 4}}});
+  counts_.merge({.source = other, .window = window_, .counts = {{hotel, 3}}});
   EXPECT_EQ(counts_.total(window_), (window_counts{{hotel, 4}}));
 }
 
-TEST_F(UsageCountsTest, CountsAnEarlierIncarnationBesideTheOwn)
+TEST_F(UsageCountsTest, CountsAnEarlierIncarnationOfThisDaemonSeparately)
 {
-  counts_.absorb({.source = {.daemon = daemon_id("a"), .incarnation = 0},
-                  .window = window_,
-                  .counts = {{hotel, 2}}});
-  counts_.began(hotel, at_);
+  counts_.merge({.source = {.daemon = daemon_id("a"), .incarnation = 0},
+                 .window = window_,
+                 .counts = {{hotel, 2}}});
+  counts_.record_start(hotel, at_);
   EXPECT_EQ(counts_.total(window_), (window_counts{{hotel, 3}}));
 }
 
-TEST_F(UsageCountsTest, PassesOnTheRowsOfSilentDaemons)
+TEST_F(UsageCountsTest, RelaysTheRowsOfSilentDaemons)
 {
-  counts_.absorb({.source = other, .window = window_, .counts = {{hotel, 4}}});
-  EXPECT_TRUE(counts_.rows([](const daemon_id&) { return false; }, 16).empty());
-  EXPECT_EQ(counts_.rows([](const daemon_id&) { return true; }, 16).size(), 1U);
+  counts_.merge({.source = other, .window = window_, .counts = {{hotel, 4}}});
+  EXPECT_TRUE(counts_.rows_for_peer([](const daemon_id&) { return false; }, 16).empty());
+  EXPECT_EQ(counts_.rows_for_peer([](const daemon_id&) { return true; }, 16).size(), 1U);
 }
 
-TEST_F(UsageCountsTest, TellsTheRowsOfManySilentDaemonsInTurn)
+TEST_F(UsageCountsTest, RelaysTheRowsOfManySilentDaemonsInRotation)
 {
   constexpr std::uint64_t silent_daemons = 100;
   for (std::uint64_t n = 0; n < silent_daemons; ++n) {
-    counts_.absorb({.source = {.daemon = daemon_id("s" + std::to_string(n)), .incarnation = 7},
-                    .window = window_,
-                    .counts = {{hotel, n + 1}}});
+    counts_.merge({.source = {.daemon = daemon_id("s" + std::to_string(n)), .incarnation = 7},
+                   .window = window_,
+                   .counts = {{hotel, n + 1}}});
   }
-  std::set<usage_source> told;
+  std::set<usage_source> reported;
   for (int reports = 0; reports < 7; ++reports) {
-    const auto rows = counts_.rows([](const daemon_id&) { return true; }, 16);
+    const auto rows = counts_.rows_for_peer([](const daemon_id&) { return true; }, 16);
     EXPECT_EQ(rows.size(), 16U);
     for (const auto& r : rows) {
-      told.insert(r.source);
+      reported.insert(r.source);
     }
   }
-  EXPECT_EQ(told.size(), silent_daemons);
+  EXPECT_EQ(reported.size(), silent_daemons);
 }
 
-TEST_F(UsageCountsTest, TellsAllOfItsOwnRowsBesideThoseOfOthers)
+TEST_F(UsageCountsTest, SendsAllOfItsOwnRowsBesideRelayedOnes)
 {
-  counts_.began(hotel, at_);
-  counts_.began(hotel, at_ + 5s);
-  counts_.absorb({.source = other, .window = window_, .counts = {{hotel, 4}}});
-  EXPECT_EQ(counts_.rows([](const daemon_id&) { return true; }, 1).size(), 3U);
+  counts_.record_start(hotel, at_);
+  counts_.record_start(hotel, at_ + 5s);
+  counts_.merge({.source = other, .window = window_, .counts = {{hotel, 4}}});
+  EXPECT_EQ(counts_.rows_for_peer([](const daemon_id&) { return true; }, 1).size(), 3U);
 }
 
 TEST_F(UsageCountsTest, ForgetsWindowsThatAreNoLongerReported)
 {
-  counts_.began(hotel, at_);
+  counts_.record_start(hotel, at_);
   counts_.forget_old(at_ + 20s);
   EXPECT_TRUE(counts_.total(window_).empty());
 }
--- a/test/gateway/version_gate_test.cc
+++ b/test/gateway/version_gate_test.cc
@@ -9,49 +9,50 @@
  protected:
   bool uses(const std::string& version, std::uint64_t revision)
   {
-    return gate_.is_usable({.service = "chat", .version = version, .revision = revision}, book_);
+    return gate_.is_usable({.service = "chat", .version = version, .revision = revision},
+                           registry_);
   }
 
   version_gate gate_{true};
-  rollout_book book_;
+  rollout_registry registry_;
 };
 
-TEST_F(VersionGateTest, UsesNoNewVersionBeforeTheOrdersAreKnown)
+TEST_F(VersionGateTest, RefusesANewVersionBeforeTheOrdersAreKnown)
 {
   EXPECT_FALSE(uses("v2", 7));
-  EXPECT_TRUE(gate_.is_behind());
-  gate_.set_known_up_to(6);
+  EXPECT_TRUE(gate_.awaits_rollouts());
+  gate_.set_rollouts_revision(6);
   EXPECT_FALSE(uses("v2", 7));
 }
 
 TEST_F(VersionGateTest, UsesAVersionThatNoOrderNames)
 {
   EXPECT_FALSE(uses("v2", 7));
-  gate_.set_known_up_to(7);
+  gate_.set_rollouts_revision(7);
   EXPECT_TRUE(uses("v2", 7));
-  EXPECT_FALSE(gate_.is_behind());
+  EXPECT_FALSE(gate_.awaits_rollouts());
 }
 
 TEST_F(VersionGateTest, UsesFurtherEndpointsOfAKnownVersionAtOnce)
 {
-  gate_.set_known_up_to(7);
+  gate_.set_rollouts_revision(7);
   EXPECT_TRUE(uses("v1", 3));
   EXPECT_TRUE(uses("v1", 90));
 }
 
 TEST_F(VersionGateTest, RefusesAVersionThatWasUsedAndRolledBack)
 {
-  gate_.set_known_up_to(7);
+  gate_.set_rollouts_revision(7);
   EXPECT_TRUE(uses("v2", 3));
-  book_.note({.service = "chat",
-              .order = 1,
-              .revision = 8,
-              .target = "v2",
-              .phase = rollout_phase::rolled_back});
+  registry_.update({.service = "chat",
+                    .order = 1,
+                    .revision = 8,
+                    .target = "v2",
+                    .phase = rollout_phase::rolled_back});
   EXPECT_FALSE(uses("v2", 3));
 }
 
-TEST_F(VersionGateTest, AnEndpointThatTellsNoVersionIsUsed)
+TEST_F(VersionGateTest, AnEndpointWithoutAVersionIsUsed)
 {
   EXPECT_TRUE(uses("", 7));
 }
--- a/test/gateway/version_traffic_test.cc
+++ b/test/gateway/version_traffic_test.cc
@@ -7,11 +7,11 @@
 namespace {
 
 using namespace std::chrono_literals;
-using side = version_lane::side;
+using subset = version_selection::subset;
 
 const wall_time start{1'000s};
 
-class VersionTrafficTest : public testing::Test {
+class TrafficSplitterTest : public testing::Test {
  protected:
   void order(rollout_phase phase = rollout_phase::trial)
   {
@@ -22,40 +22,40 @@
               .ordered_at = start,
               .deadline = start + 20s,
               .phase = phase,
-              .moves_from = start + 10s,
-              .moved_by = start + 12s};
-    book_.note(r);
-    traffic_.follow(book_);
+              .move_starts_at = start + 10s,
+              .move_ends_at = start + 12s};
+    registry_.update(r);
+    splitter_.update_orders(registry_);
   }
 
-  version_lane lane_of(const std::string& route, wall_time now = start, std::uint64_t key = 1)
+  version_selection select(const std::string& route, wall_time now = start, std::uint64_t key = 1)
   {
-    return traffic_.lane_of({.service = "chat", .route = route, .key = key}, false, now);
+    return splitter_.select({.service = "chat", .route = route, .affinity_key = key}, false, now);
   }
 
-  // A call that goes where it may. True if that is the target.
+  // Sends a call to where the splitter selects. Returns true if that is the target.
   bool send(const std::string& route)
   {
-    const bool to_target = lane_of(route).at == side::trial;
-    traffic_.on_sent(call(route, to_target ? "v2" : "v1"));
+    const bool to_target = select(route).endpoints == subset::trial;
+    splitter_.on_sent(call(route, to_target ? "v2" : "v1"));
     return to_target;
   }
 
-  static placed_call call(const std::string& route, const std::string& version)
+  static call_attempt call(const std::string& route, const std::string& version)
   {
     return {.service = "chat", .route = route, .version = version, .endpoint = endpoint_id("e1")};
   }
 
-  rollout_book book_;
-  version_traffic traffic_{{.source = {.daemon = daemon_id("d"), .incarnation = 1}}};
+  rollout_registry registry_;
+  traffic_splitter splitter_{{.source = {.daemon = daemon_id("d"), .incarnation = 1}}};
 };
 
-TEST_F(VersionTrafficTest, WithoutAnOrderAllEndpointsTakeCalls)
+TEST_F(TrafficSplitterTest, WithoutAnOrderAllEndpointsTakeCalls)
 {
-  EXPECT_EQ(lane_of("r").at, side::any);
+  EXPECT_EQ(select("r").endpoints, subset::any);
 }
 
-TEST_F(VersionTrafficTest, ATargetOnTrialGetsItsPartOfEachRouteAndNoMore)
+TEST_F(TrafficSplitterTest, ATargetOnTrialGetsItsFractionOfEachRouteAndNoMore)
 {
   order();
   int to_target = 0;
@@ -67,10 +67,10 @@
   EXPECT_FALSE(send("rare"));
 }
 
-TEST_F(VersionTrafficTest, AllRoutesTogetherStayWithinThePartAndWhatIsBeyond)
+TEST_F(TrafficSplitterTest, AllRoutesTogetherStayWithinTheFractionAndTheExtraCalls)
 {
   order();
-  traffic_.set_beyond_part(4);
+  splitter_.set_extra_calls(4);
   int to_target = 0;
   for (int i = 0; i < 100; ++i) {
     for (const auto* route : {"a", "b", "c", "d", "e"}) {
@@ -81,84 +81,86 @@
   EXPECT_GE(to_target, 0.08 * 500);
 }
 
-TEST_F(VersionTrafficTest, ACallThatIsSentAgainKeepsToThePresentVersion)
+TEST_F(TrafficSplitterTest, ARepeatedCallGoesToTheBaselineVersion)
 {
   order();
-  traffic_.set_beyond_part(10);
-  EXPECT_EQ(lane_of("r").at, side::trial);
-  EXPECT_EQ(traffic_.lane_of({.service = "chat", .route = "r"}, true, start).at, side::present);
+  splitter_.set_extra_calls(10);
+  EXPECT_EQ(select("r").endpoints, subset::trial);
+  EXPECT_EQ(splitter_.select({.service = "chat", .route = "r"}, true, start).endpoints,
+            subset::baseline);
 }
 
-TEST_F(VersionTrafficTest, EndpointsOnTrialChangeWithTime)
+TEST_F(TrafficSplitterTest, EndpointsOnTrialChangeWithTime)
 {
   order();
-  traffic_.set_beyond_part(10);
-  EXPECT_EQ(lane_of("r").drawn_by, lane_of("r", start + 1s).drawn_by);
-  EXPECT_NE(lane_of("r").drawn_by, lane_of("r", start + 4s).drawn_by);
+  splitter_.set_extra_calls(10);
+  EXPECT_EQ(select("r").trial_seed, select("r", start + 1s).trial_seed);
+  EXPECT_NE(select("r").trial_seed, select("r", start + 4s).trial_seed);
 }
 
-TEST_F(VersionTrafficTest, PrefixesMoveInTurn)
+TEST_F(TrafficSplitterTest, CallsMoveByPrefix)
 {
   order(rollout_phase::moving);
   int moved = 0;
   for (std::uint64_t key = 0; key < 1'000; ++key) {
-    const bool early = lane_of("r", start + 10'500ms, key).at == side::target;
+    const bool early = select("r", start + 10'500ms, key).endpoints == subset::target;
     moved += early ? 1 : 0;
     if (early) {
-      EXPECT_EQ(lane_of("r", start + 11s, key).at, side::target);
+      EXPECT_EQ(select("r", start + 11s, key).endpoints, subset::target);
     }
-    EXPECT_EQ(lane_of("r", start + 12s, key).at, side::target);
+    EXPECT_EQ(select("r", start + 12s, key).endpoints, subset::target);
   }
   EXPECT_NEAR(moved, 250, 60);
 }
 
-TEST_F(VersionTrafficTest, TellsCallsThatAreStillAtTheVersionBefore)
+TEST_F(TrafficSplitterTest, ReportsCallsThatStillRunAtTheBaseline)
 {
-  traffic_.on_sent(call("r", "v1")); // before the order
+  splitter_.on_sent(call("r", "v1")); // before the order
   order(rollout_phase::moving);
-  traffic_.on_sent(call("r", "v2"));
-  const auto rows = traffic_.rows(start + 13s);
+  splitter_.on_sent(call("r", "v2"));
+  const auto rows = splitter_.rows(start + 13s);
   ASSERT_EQ(rows.size(), 1U);
   EXPECT_TRUE(rows[0].moved);
   EXPECT_EQ(rows[0].open_calls, 1U);
-  traffic_.on_ended(call("r", "v1"), {});
-  EXPECT_EQ(traffic_.rows(start + 13s)[0].open_calls, 0U);
+  splitter_.on_ended(call("r", "v1"), {});
+  EXPECT_EQ(splitter_.rows(start + 13s)[0].open_calls, 0U);
 }
 
-TEST_F(VersionTrafficTest, CountsHowCallsFareByRouteAndEndpoint)
+TEST_F(TrafficSplitterTest, CountsOutcomesByRouteAndEndpoint)
 {
   order();
-  traffic_.on_ended(call("r", "v1"), {.counts = true, .failed = true});
-  traffic_.on_ended(call("r", "v2"), {.counts = true});
-  traffic_.on_ended(call("r", "v2"), {.counts = false, .failed = true});
-  const auto counted = traffic_.rows(start)[0].outcomes.at("r");
-  EXPECT_EQ(counted.present, (outcome_counts{.calls = 1, .failed = 1}));
+  splitter_.on_ended(call("r", "v1"), {.is_counted = true, .failed = true});
+  splitter_.on_ended(call("r", "v2"), {.is_counted = true});
+  splitter_.on_ended(call("r", "v2"), {.is_counted = false, .failed = true});
+  const auto counted = splitter_.rows(start)[0].outcomes.at("r");
+  EXPECT_EQ(counted.baseline, (outcome_counts{.calls = 1, .failed = 1}));
   EXPECT_EQ(counted.target.at(endpoint_id("e1")), outcome_counts{.calls = 1});
 }
 
-TEST_F(VersionTrafficTest, CallsThatTakeLongerThanTheRoutesOthersAreSlow)
+TEST_F(TrafficSplitterTest, CallsThatTakeLongerThanOthersOfTheRouteAreSlow)
 {
   order();
   for (int i = 0; i < 200; ++i) {
-    traffic_.on_ended(call("r", "v1"), {.counts = true, .first_seconds = 1.0 + 0.001 * (i % 10)});
+    splitter_.on_ended(call("r", "v1"),
+                       {.is_counted = true, .first_event_seconds = 1.0 + 0.001 * (i % 10)});
   }
-  traffic_.on_ended(call("r", "v2"), {.counts = true, .first_seconds = 4.0});
-  EXPECT_EQ(traffic_.rows(start)[0].outcomes.at("r").target.at(endpoint_id("e1")).slow, 1U);
+  splitter_.on_ended(call("r", "v2"), {.is_counted = true, .first_event_seconds = 4.0});
+  EXPECT_EQ(splitter_.rows(start)[0].outcomes.at("r").target.at(endpoint_id("e1")).slow, 1U);
 }
 
-TEST_F(VersionTrafficTest, RowsTravelWhole)
+TEST_F(TrafficSplitterTest, RowsSurviveEncoding)
 {
   order();
-  traffic_.on_ended(call("r", "v2"), {.counts = true, .failed = true});
-  const auto rows = traffic_.rows(start);
+  splitter_.on_ended(call("r", "v2"), {.is_counted = true, .failed = true});
+  const auto rows = splitter_.rows(start);
   EXPECT_EQ(decode_rollout_rows(encode_rollout_rows(rows)), rows);
 }
 
-TEST_F(VersionTrafficTest, NothingIsToldOfAnOrderThatHasEnded)
+TEST_F(TrafficSplitterTest, ReportsNoRowsOfAnOrderThatHasEnded)
 {
   order();
   order(rollout_phase::rolled_back);
-  EXPECT_TRUE(traffic_.rows(start).empty());
+  EXPECT_TRUE(splitter_.rows(start).empty());
 }
 
 } // namespace
--- a/test/gateway/workspace_quota_test.cc
+++ b/test/gateway/workspace_quota_test.cc
@@ -18,7 +18,7 @@
   return {.id = hotel, .rate = rate, .burst = burst, .counts_tokens = true};
 }
 
-// Daemons that hear each other unless told otherwise, with exchanges that take no time.
+// Daemons that reach each other unless one is partitioned, with exchanges that take no time.
 class quota_fleet {
  public:
   quota_fleet(int daemons, double rate, double burst, double slack)
@@ -38,11 +38,11 @@
 
   [[nodiscard]] workspace_quota& quota(std::size_t i) { return *quotas_.at(i); }
 
-  // Daemon `i` hears nobody.
-  void cut_off(std::size_t i)
+  // Partitions daemon `i` from all others.
+  void partition(std::size_t i)
   {
-    cut_ = i;
-    quota(i).set_fleet({.running = ids_.size()}, now_);
+    partitioned_ = i;
+    quota(i).set_fleet({.running_count = ids_.size()}, now_);
     for (std::size_t k = 0; k < ids_.size(); ++k) {
       if (k != i) {
         connect(k, ids_.size());
@@ -50,11 +50,11 @@
     }
   }
 
-  void pass(std::chrono::milliseconds time)
+  void advance(std::chrono::milliseconds time)
   {
     now_ += time;
     for (const auto& q : quotas_) {
-      q->refresh(now_);
+      q->update_demand(now_);
     }
   }
 
@@ -65,9 +65,10 @@
     if (decided.outcome == quota_outcome::ask_owner) {
       const auto owner = static_cast<std::size_t>(
           std::find(ids_.begin(), ids_.end(), decided.owner) - ids_.begin());
-      const bool reachable = i != cut_ && owner != cut_;
-      const auto grant =
-          reachable ? quota(owner).grant(hotel, units, decided.ask, now_) : std::nullopt;
+      const bool reachable = i != partitioned_ && owner != partitioned_;
+      const auto grant = reachable
+                             ? quota(owner).grant(hotel, units, decided.units_to_request, now_)
+                             : std::nullopt;
       decided = quota(i).on_grant(hotel, units, grant, now_);
     }
     admitted_ += decided.outcome == quota_outcome::admitted ? units : 0;
@@ -81,17 +82,18 @@
   {
     std::vector<daemon_id> live;
     for (std::size_t k = 0; k < ids_.size(); ++k) {
-      if (k != i && k != cut_) {
+      if (k != i && k != partitioned_) {
         live.push_back(ids_[k]);
       }
     }
-    const auto heard = live.size() + 1;
-    quota(i).set_fleet({.candidates = std::move(live), .heard = heard, .running = counted}, now_);
+    const auto live_count = live.size() + 1;
+    quota(i).set_fleet(
+        {.candidates = std::move(live), .live_count = live_count, .running_count = counted}, now_);
   }
 
   std::vector<daemon_id> ids_;
   std::vector<std::unique_ptr<workspace_quota>> quotas_;
-  std::size_t cut_ = static_cast<std::size_t>(-1);
+  std::size_t partitioned_ = static_cast<std::size_t>(-1);
   mono_time now_ = start;
   double admitted_ = 0;
 };
@@ -108,13 +110,13 @@
   quota_fleet fleet(6, 1'000, 1'000, 1'000);
   int refused = 0;
   for (int i = 0; i < 100; ++i) {
-    fleet.pass(100ms);
-    refused += fleet.admit(0, 70) ? 0 : 1; // 700 a second, all at one daemon
+    fleet.advance(100ms);
+    refused += fleet.admit(0, 70) ? 0 : 1; // 700 per second, all at one daemon
   }
   EXPECT_EQ(refused, 0);
 }
 
-TEST(WorkspaceQuotaTest, SaysWhenThereWillBeUnitsAgain)
+TEST(WorkspaceQuotaTest, RefusalStatesWhenUnitsWillBeAvailable)
 {
   workspace_quota quota({.self = daemon_id("a")});
   quota.set_workspaces({limited(100, 10)}, start);
@@ -126,44 +128,44 @@
   EXPECT_EQ(quota.admit(hotel, 1, last.retry_at).outcome, quota_outcome::admitted);
 }
 
-TEST(WorkspaceQuotaTest, UnitsOfARequestThatHasNotRunCanBeUsedAgain)
+TEST(WorkspaceQuotaTest, RefundedUnitsCanBeUsedAgain)
 {
   workspace_quota quota({.self = daemon_id("a")});
   quota.set_workspaces({limited(1, 0)}, start);
   while (quota.admit(hotel, 5, start).outcome == quota_outcome::admitted) {
   }
-  quota.give_back(hotel, 5, start);
+  quota.refund(hotel, 5, start);
   EXPECT_EQ(quota.admit(hotel, 5, start).outcome, quota_outcome::admitted);
 }
 
-TEST(WorkspaceQuotaTest, LeavingDaemonsDoNotLowerTheRate)
+TEST(WorkspaceQuotaTest, DrainingDaemonsDoNotLowerTheRate)
 {
   workspace_quota quota({.self = daemon_id("a")});
   quota.set_workspaces({limited(1'000, 0)}, start);
-  quota.set_fleet({.heard = 6, .running = 6}, start); // five leave
+  quota.set_fleet({.live_count = 6, .running_count = 6}, start); // five are draining
   int refused = 0;
   for (int i = 1; i <= 100; ++i) {
-    const auto decided = quota.admit(hotel, 75, start + 100ms * i); // 750 a second
+    const auto decided = quota.admit(hotel, 75, start + 100ms * i); // 750 per second
     refused += decided.outcome == quota_outcome::refused ? 1 : 0;
   }
   EXPECT_EQ(refused, 0);
 }
 
-TEST(WorkspaceQuotaTest, AnOwnerThatHasNoConfigurationYetGivesNothingAway)
+TEST(WorkspaceQuotaTest, AnOwnerWithoutAConfigurationGrantsNothing)
 {
-  workspace_quota young({.self = daemon_id("a")});
-  EXPECT_FALSE(young.grant(hotel, 5'000, 400'000, start));
+  workspace_quota unconfigured({.self = daemon_id("a")});
+  EXPECT_FALSE(unconfigured.grant(hotel, 5'000, 400'000, start));
 }
 
-TEST(WorkspaceQuotaTest, AnOwnerThatDoesNotAnswerLeavesTheOwnBucket)
+TEST(WorkspaceQuotaTest, TheLocalBucketServesIfTheOwnerDoesNotAnswer)
 {
   quota_fleet fleet(4, 1'000, 1'000, 1'000);
-  fleet.cut_off(1);
+  fleet.partition(1);
   EXPECT_TRUE(fleet.admit(1, 10));
 }
 
-// Whatever the demand, in any span: no more than rate x time + burst + slack and a request each
-// that ran into debt.
+// Whatever the demand, in any interval: at most rate x time + burst + slack, and one request for
+// each bucket that went into debt.
 RC_GTEST_PROP(WorkspaceQuotaPropertyTest, TheFleetKeepsWithinItsBound, ())
 {
   constexpr double rate = 1'000;
@@ -173,11 +175,11 @@
   constexpr double largest = 60;
   quota_fleet fleet(daemons, rate, burst, slack);
   if (*rc::gen::arbitrary<bool>()) {
-    fleet.cut_off(*rc::gen::inRange<std::size_t>(0, daemons));
+    fleet.partition(*rc::gen::inRange<std::size_t>(0, daemons));
   }
   constexpr int steps = 80;
   for (int step = 0; step < steps; ++step) {
-    fleet.pass(100ms);
+    fleet.advance(100ms);
     for (int n = 0; n < 8; ++n) {
       fleet.admit(*rc::gen::inRange<std::size_t>(0, daemons), largest);
     }
--- a/test/gateway/zone_loss_replay_test.cc
+++ b/test/gateway/zone_loss_replay_test.cc
@@ -43,7 +43,7 @@
       const auto in = input(now);
       served.push_back(serving(now));
       for (const auto& order : planner_.plan(in, now)) {
-        planner_.on_answer(order, take(order, now), now);
+        planner_.on_result(order, take(order, now), now);
       }
     }
     return served;
@@ -73,12 +73,12 @@
   scaling_input input(mono_time now) const
   {
     scaling_input in{.service = "chat",
-                     .limits = {.least = 1,
-                                .most = options_.most,
-                                .start_time = start_time,
-                                .reclaimable_price = 0.22,
+                     .limits = {.min_endpoints = 1,
+                                .max_endpoints = options_.most,
+                                .startup_time = start_time,
+                                .reclaimable_price_ratio = 0.22,
                                 .zone_prices = options_.prices},
-                     .busy = options_.busy};
+                     .busy_endpoints = options_.busy};
     for (const auto& [subject, since] : endpoints_) {
       in.serving[subject] = serving_in(since, now);
     }
@@ -100,21 +100,21 @@
     return sum;
   }
 
-  order_answer take(const endpoint_order& order, mono_time now)
+  order_result take(const endpoint_order& order, mono_time now)
   {
-    auto& since = endpoints_[order.subject];
-    if (order.subject.reclaimable && order.wanted > since.size() && now < dry_until_) {
-      return order_answer::sold_out;
+    auto& since = endpoints_[order.group];
+    if (order.group.reclaimable && order.wanted > since.size() && now < dry_until_) {
+      return order_result::sold_out;
     }
     since.resize(order.wanted, now + start_time);
-    return order_answer::taken;
+    return order_result::accepted;
   }
 
   static constexpr std::chrono::milliseconds start_time{4'000};
 
   replay_options options_;
   scaling_planner planner_{{}};
-  std::map<order_subject, std::vector<mono_time>> endpoints_; // when each begins to serve
+  std::map<endpoint_group, std::vector<mono_time>> endpoints_; // when each begins to serve
   mono_time dry_until_ = start;
 };
 
--- a/test/relay/exchange_replay_test.cc
+++ b/test/relay/exchange_replay_test.cc
@@ -65,7 +65,7 @@
   run_for(9s);
   std::size_t known = 0;
   for (const auto& d : daemons_) {
-    const auto there = d->state.endpoints.peers().at(endpoint).waiting;
+    const auto there = d->state.endpoints.peers().total_at(endpoint).waiting;
     EXPECT_GE(there, 160U);
     known += there;
   }
