--- a/test/relay/replayed_fleet.h
+++ b/test/relay/replayed_fleet.h
@@ -48,7 +48,7 @@
   }
 
   fleet_state state;
-  gateway::peer_rounds rounds;
+  gateway::gossip_scheduler rounds;
   int reports = 0; // received whole
   int brief_reports = 0;
   bool alive = true;
@@ -229,7 +229,7 @@
   {
     d.has_news = false;
     if (d.alive) {
-      const auto peers = d.rounds.next_for_news(d.state.peers.addresses_to_ask(now_));
+      const auto peers = d.rounds.next_urgent_targets(d.state.peers.addresses_to_contact(now_));
       ask(d, peers, peers); // what they get is as brief as a lead's
     }
   }
@@ -237,7 +237,7 @@
   void play_round(replayed_daemon& d)
   {
     const auto leads = d.state.other_leads(now_);
-    ask(d, d.rounds.next(d.state.peers.addresses_to_ask(now_), leads, now_), leads);
+    ask(d, d.rounds.next_targets(d.state.peers.addresses_to_contact(now_), leads, now_), leads);
     d.state.tick(clocks());
   }
 
@@ -245,7 +245,7 @@
            const std::vector<http::socket_address>& leads = {})
   {
     using extent = fleet_state::report_extent;
-    const bool large = d.rounds.is_large(d.state.peers.counted(now_));
+    const bool large = d.rounds.is_large(d.state.peers.running_count(now_));
     for (const auto& address : peers) {
       auto& peer = *daemons_[address.port - 7'000U];
       const std::size_t own = d.state.options.peers.port - 7'000U;
@@ -286,7 +286,7 @@
   void tell(replayed_daemon& from, replayed_daemon& to, fleet_state::report_extent extent)
   {
     to.state.absorb(from.state.report(clocks(), extent), clocks());
-    to.rounds.on_answer(from.state.options.peers, now_);
+    to.rounds.on_report(from.state.options.peers, now_);
     ++(extent == fleet_state::report_extent::brief ? to.brief_reports : to.reports);
   }
 
--- a/test/relay/rollout_replay_test.cc
+++ b/test/relay/rollout_replay_test.cc
@@ -149,16 +149,16 @@
 
   void send_call(fleet_state& state, const std::string& route)
   {
-    using side = gateway::version_lane::side;
-    const auto lane = state.version_calls.lane_of(
-        {.service = "chat", .route = route, .key = random_()}, false, clocks().wall);
-    const bool to_target = lane.at == side::trial || lane.at == side::target;
-    const auto few = lane.at == side::trial ? 2 : 20;
-    const auto endpoint = (lane.drawn_by + random_() % static_cast<std::uint64_t>(few)) % 20;
-    const gateway::placed_call call{.service = "chat",
-                                    .route = route,
-                                    .version = to_target ? "v2" : "v1",
-                                    .endpoint = endpoint_id("e" + std::to_string(endpoint))};
+    using side = gateway::version_selection::subset;
+    const auto lane = state.version_calls.select(
+        {.service = "chat", .route = route, .affinity_key = random_()}, false, clocks().wall);
+    const bool to_target = lane.endpoints == side::trial || lane.endpoints == side::target;
+    const auto few = lane.endpoints == side::trial ? 2 : 20;
+    const auto endpoint = (lane.trial_seed + random_() % static_cast<std::uint64_t>(few)) % 20;
+    const gateway::call_attempt call{.service = "chat",
+                                     .route = route,
+                                     .version = to_target ? "v2" : "v1",
+                                     .endpoint = endpoint_id("e" + std::to_string(endpoint))};
     state.version_calls.on_sent(call);
     const auto outcome = draw_outcome(to_target, route);
     state.version_calls.on_ended(call, outcome);
@@ -169,10 +169,10 @@
   {
     const bool on_route = version_.only_route.empty() || version_.only_route == route;
     const bool bad = to_target && on_route && now_ >= ordered_ + version_.from;
-    gateway::call_outcome out{.counts = true};
+    gateway::call_outcome out{.is_counted = true};
     out.failed = std::bernoulli_distribution(bad ? version_.fails : 0.005)(random_);
     const double ordinary = std::lognormal_distribution<double>(0, 0.6)(random_);
-    out.first_seconds = ordinary * (bad ? version_.slow_times : 1);
+    out.first_event_seconds = ordinary * (bad ? version_.slow_times : 1);
     is_bad_answer_ = bad && (out.failed || version_.slow_times > 1);
     return out;
   }
@@ -210,16 +210,16 @@
         continue;
       }
       for (const auto& row : state.version_calls.rows(clocks().wall)) {
-        state.rollout_rows.absorb(row);
+        state.rollout_rows.merge(row);
       }
-      conduct(state, conductors_.try_emplace(n, gateway::rollout_conductor({})).first->second,
+      conduct(state, conductors_.try_emplace(n, gateway::rollout_controller({})).first->second,
               *order);
     }
   }
 
-  void conduct(fleet_state& state, gateway::rollout_conductor& conductor, gateway::rollout order)
+  void conduct(fleet_state& state, gateway::rollout_controller& conductor, gateway::rollout order)
   {
-    if (const auto stopped = conductor.stop_if_bad(order, state.rollout_rows, clocks())) {
+    if (const auto stopped = conductor.roll_back_if_bad(order, state.rollout_rows, clocks())) {
       state.take_rollout(*stopped);
       return;
     }
@@ -228,15 +228,15 @@
     }
     const auto wall = clocks().wall;
     if (const auto next =
-            conductor.next_phase(order, state.rollout_rows, {.present = 20, .target = 20}, wall)) {
+            conductor.next_phase(order, state.rollout_rows, {.baseline = 20, .target = 20}, wall)) {
       state.take_rollout(*next);
       order = *next;
     }
-    gateway::fleet_standing fleet{.live = {state.options.id}};
+    gateway::fleet_status fleet{.live = {state.options.id}};
     for (const auto& peer : state.peers.live(now_)) {
       fleet.live.push_back(peer.id);
     }
-    fleet.some_silent = state.peers.counted(now_) > fleet.live.size();
+    fleet.has_silent_daemons = state.peers.running_count(now_) > fleet.live.size();
     if (conductor.is_complete(order, state.rollout_rows, fleet, wall)) {
       order.phase = gateway::rollout_phase::succeeded;
       state.take_rollout(order);
@@ -250,7 +250,7 @@
   mono_time conducted_at_;
   std::optional<mono_time> fiftieth_;
   bool is_bad_answer_ = false;
-  std::map<std::size_t, gateway::rollout_conductor> conductors_;
+  std::map<std::size_t, gateway::rollout_controller> conductors_;
 };
 
 const std::vector<drawn_version> bad_versions = {
