--- a/include/wisteriaflow/gateway/answer_verdict.h
+++ b/include/wisteriaflow/gateway/answer_verdict.h
@@ -1,7 +1,13 @@
-// What is to be done with an endpoint's answer or its failure.
+// Classifies the outcome of an attempt, and decides whether a call is retried and with which status
+// it finally fails.
 //
-// The rules that keep "not run" true are here and nowhere else: a request counts as not run only
-// if no byte of it left this process, or the endpoint that got it said so.
+// The guarantee behind "not run" is implemented here alone: a request counts as not run only if no
+// byte of it left this process, or if the endpoint that received it said so.
+//
+//   history = record_attempt(history, classify_answer(head, request_id));
+//   if (!may_retry(route, history)) {
+//     ... fail the call with final_status(history) ...
+//   }
 
 #ifndef WISTERIAFLOW_GATEWAY_ANSWER_VERDICT_H_
 #define WISTERIAFLOW_GATEWAY_ANSWER_VERDICT_H_
@@ -11,34 +17,35 @@
 
 namespace wisteriaflow::gateway {
 
-// How one attempt ended.
+// Outcome of one attempt.
 enum class attempt_outcome {
-  answered, // the endpoint's own answer, to be passed on
-  not_run,  // certainly not run: may be sent again, and refused as not run
-  failed,   // may have run: an endpoint's failure that is passed on unless the call may repeat
-  broken,   // may have run, and there is no answer that can be passed on
+  answered, // a valid answer, forwarded to the caller
+  not_run,  // certainly not run: may be retried, and refused as not run
+  failed,   // may have run: an error answer, forwarded unless the call may be retried
+  broken,   // may have run, and there is no valid answer to forward
 };
 
-// Judges the head of a whole or streamed answer to the request `request_id`.
-[[nodiscard]] attempt_outcome judge(const answer_head& head, const std::string& request_id);
+// Classifies the head of a complete or streamed answer to the request `request_id`.
+[[nodiscard]] attempt_outcome classify_answer(const answer_head& head,
+                                              const std::string& request_id);
 
-// What a call has been through so far; decides its final status if it is given up.
+// Result of a call's attempts so far; determines the final status if the call fails.
 struct attempt_history {
-  unsigned sent = 0; // attempts of which an endpoint got at least a byte
+  unsigned sent = 0; // attempts of which at least one byte reached an endpoint
   bool may_have_run = false;
   bool timed_out = false;
 
   friend bool operator==(const attempt_history&, const attempt_history&) = default;
 };
 
-// Notes that an attempt ended with `outcome`.
-[[nodiscard]] attempt_history after(attempt_history history, attempt_outcome outcome);
+// Returns `history` with one more attempt that ended with `outcome`.
+[[nodiscard]] attempt_history record_attempt(attempt_history history, attempt_outcome outcome);
 
-// The status of a call that is given up: 503 only if it has certainly not run.
+// HTTP status of a call that has failed: 503 only if it has certainly not run.
 [[nodiscard]] int final_status(const attempt_history& history);
 
-// Whether a call of `r` may be sent to another endpoint after `history`.
-[[nodiscard]] bool may_send_again(const route& r, const attempt_history& history);
+// Whether a call on route `r` may be sent to another endpoint after `history`.
+[[nodiscard]] bool may_retry(const route& r, const attempt_history& history);
 
 } // namespace wisteriaflow::gateway
 
--- a/include/wisteriaflow/gateway/call.h
+++ b/include/wisteriaflow/gateway/call.h
@@ -1,6 +1,7 @@
-// A caller's request as the gateway sees it, and an endpoint's answer, whatever their dialect.
+// Requests of callers and answers of endpoints, independent of the protocol dialect.
 //
-// The bytes of both pass through unchanged; these types hold what decisions are made by.
+// The bytes of both are forwarded unchanged; these types hold only what routing decisions depend
+// on.
 
 #ifndef WISTERIAFLOW_GATEWAY_CALL_H_
 #define WISTERIAFLOW_GATEWAY_CALL_H_
@@ -17,23 +18,23 @@
 
 namespace wisteriaflow::gateway {
 
-// A part of a prompt that other requests may share.
+// A section of a prompt that other requests may have in common.
 struct prompt_part {
-  std::uint64_t id = 0; // equal ids after equal parts mean equal text
+  std::uint64_t id = 0; // equal ids after equal preceding parts mean equal text
   std::uint32_t tokens = 0;
 
   friend bool operator==(const prompt_part&, const prompt_part&) = default;
 };
 
-// Size of a generation, as its caller states it.
+// Size of a generation in tokens, as stated by the caller.
 struct token_size {
   std::uint64_t prompt = 0;
-  std::uint64_t output = 0; // at most
+  std::uint64_t output = 0; // upper bound
 
   friend bool operator==(const token_size&, const token_size&) = default;
 };
 
-// What a caller's request asks for.
+// Routing attributes of a caller's request.
 struct call_description {
   std::string host;
   std::string path; // without the query
@@ -42,31 +43,32 @@
   std::string model;   // empty for a plain service
   std::optional<token_size> size;
   std::vector<prompt_part> prompt;
-  std::optional<mono_time> deadline; // after it the caller has gone
+  std::optional<mono_time> deadline; // the caller stops waiting then
 
   friend bool operator==(const call_description&, const call_description&) = default;
 };
 
-// What the gateway adds to a request for one attempt.
-struct attempt_terms {
-  endpoint_id endpoint;   // any other endpoint at that address refuses the request
-  workspace_id workspace; // empty: not told
+// Fields that the gateway adds to a request for one attempt.
+struct attempt_parameters {
+  endpoint_id endpoint;   // a different endpoint at that address refuses the request
+  workspace_id workspace; // empty: not sent
   int priority = 0;
   mono_time deadline;
-  // Another endpoint that probably holds the prompt's shared parts, to copy them from.
+  // Address of another endpoint that probably has the prompt's shared parts in its cache and from
+  // which they can be copied.
   std::optional<http::socket_address> prefix_source;
-  // Id of the last event that the caller has; absent at a first attempt.
+  // Id of the last event that the caller has received; absent on a first attempt.
   std::optional<std::uint64_t> resume_after;
 
-  friend bool operator==(const attempt_terms&, const attempt_terms&) = default;
+  friend bool operator==(const attempt_parameters&, const attempt_parameters&) = default;
 };
 
-// What the head of an endpoint's answer says.
+// Contents of the head of an endpoint's answer.
 struct answer_head {
   int status = 0;
-  bool not_run = false;        // the endpoint promises that it did not run the request
-  bool other_endpoint = false; // another endpoint is at the address, and answers for itself
-  bool has_signature = false;  // carries the endpoint's signature
+  bool not_run = false;        // the endpoint states that it did not run the request
+  bool other_endpoint = false; // a different endpoint has the address; the other fields are its own
+  bool has_signature = false;  // the answer carries the endpoint's signature
   bool is_stream = false;
   std::string request_id; // as echoed by the endpoint; empty: none
   endpoint_statement statement;
--- a/include/wisteriaflow/gateway/crash_codec.h
+++ b/include/wisteriaflow/gateway/crash_codec.h
@@ -1,4 +1,4 @@
-// Crash news as JSON: between daemons, and in the store.
+// JSON encoding of crash reports, for messages between daemons and for the store.
 
 #ifndef WISTERIAFLOW_GATEWAY_CRASH_CODEC_H_
 #define WISTERIAFLOW_GATEWAY_CRASH_CODEC_H_
@@ -10,16 +10,17 @@
 
 namespace wisteriaflow::gateway {
 
-// Crash news that cannot be read.
-class crash_news_error : public error {
+// A crash report could not be decoded.
+class crash_report_error : public error {
  public:
   using error::error;
 };
 
-[[nodiscard]] boost::json::value encode_crash_news(const crash_news& news);
+// Encodes a crash report as a JSON object.
+[[nodiscard]] boost::json::value encode_crash_report(const crash_report& report);
 
-// Throws crash_news_error.
-[[nodiscard]] crash_news decode_crash_news(const boost::json::value& from);
+// Throws crash_report_error if `from` is not a valid crash report.
+[[nodiscard]] crash_report decode_crash_report(const boost::json::value& from);
 
 } // namespace wisteriaflow::gateway
 
--- a/include/wisteriaflow/gateway/departures.h
+++ b/include/wisteriaflow/gateway/departures.h
@@ -1,5 +1,9 @@
-// Endpoints that leave or are gone, remembered so that no stale description brings one back, and
-// told to peers for a while.
+// Endpoints that are leaving or were removed. They are remembered, so that an outdated description
+// doesn't bring an endpoint back, and gossiped to peers for a limited time.
+//
+//   departures left(gossip_duration);
+//   left.record({.id = id, .revision = revision}, now);
+//   if (left.had_departed(id, record.revision)) { ... the record is outdated ... }
 
 #ifndef WISTERIAFLOW_GATEWAY_DEPARTURES_H_
 #define WISTERIAFLOW_GATEWAY_DEPARTURES_H_
@@ -14,7 +18,7 @@
 
 namespace wisteriaflow::gateway {
 
-// An endpoint that leaves or is gone, as of a revision of the store.
+// The departure of an endpoint as of a revision of the store.
 struct endpoint_departure {
   endpoint_id id;
   std::uint64_t revision = 0;
@@ -25,33 +29,38 @@
 // Not thread-safe.
 class departures {
  public:
-  // Departures are passed on to all peers for `told_for`, well above the time that gossip takes.
-  // Who has missed one for longer finds out by its view of the endpoints, and asks for it.
-  explicit departures(std::chrono::milliseconds told_for) : told_for_(told_for) {}
+  // Departures are gossiped to all peers for `gossip_duration`, which must be well above the time
+  // that gossip takes. A daemon that has missed one for longer detects this from the revision of
+  // its endpoint view, and asks for it.
+  explicit departures(std::chrono::milliseconds gossip_duration) : gossip_duration_(gossip_duration)
+  {
+  }
 
-  void note(const endpoint_departure& d, mono_time now);
+  // Records a departure; ignored unless its revision is higher than the known one.
+  void record(const endpoint_departure& d, mono_time now);
 
-  // Whether the endpoint had left as of `revision`.
-  [[nodiscard]] bool covers(const endpoint_id& id, std::uint64_t revision) const;
+  // Whether a departure of the endpoint is known at `revision` or later.
+  [[nodiscard]] bool had_departed(const endpoint_id& id, std::uint64_t revision) const;
 
-  // To pass on to peers.
-  [[nodiscard]] std::vector<endpoint_departure> to_tell(mono_time now) const;
+  // Departures to gossip to peers now.
+  [[nodiscard]] std::vector<endpoint_departure> to_gossip(mono_time now) const;
 
-  // For a peer whose view of the endpoints is at `revision`.
-  [[nodiscard]] std::vector<endpoint_departure> after(std::uint64_t revision) const;
+  // Departures after `revision`, for a peer whose endpoint view is at that revision.
+  [[nodiscard]] std::vector<endpoint_departure> since(std::uint64_t revision) const;
 
-  // Those noted so long ago that the last requests there have ended.
-  [[nodiscard]] std::vector<endpoint_id> over(mono_time now) const;
+  // Endpoints that departed so long ago that the last requests there have ended.
+  [[nodiscard]] std::vector<endpoint_id> completed(mono_time now) const;
 
-  void forget_old(mono_time now);
+  // Removes departures that no outdated list can contradict any more.
+  void remove_expired(mono_time now);
 
  private:
   struct entry {
     std::uint64_t revision = 0;
-    mono_time noted_at;
+    mono_time recorded_at;
   };
 
-  std::chrono::milliseconds told_for_;
+  std::chrono::milliseconds gossip_duration_;
   std::map<endpoint_id, entry> entries_;
 };
 
--- a/include/wisteriaflow/gateway/endpoint_health.h
+++ b/include/wisteriaflow/gateway/endpoint_health.h
@@ -1,4 +1,8 @@
-// Which endpoints this daemon leaves out for a while, by how its own calls fared there.
+// Ejects endpoints for a limited time according to failures of this daemon's own calls (outlier
+// ejection with exponential backoff).
+//
+//   if (health.on_failure(id, endpoint_failure::broken, now)) { ... log the ejection ... }
+//   if (now < health.ejected_until(id)) { ... prefer other endpoints ... }
 
 #ifndef WISTERIAFLOW_GATEWAY_ENDPOINT_HEALTH_H_
 #define WISTERIAFLOW_GATEWAY_ENDPOINT_HEALTH_H_
@@ -12,22 +16,23 @@
 
 namespace wisteriaflow::gateway {
 
-// How an endpoint failed an attempt.
-enum class endpoint_trouble {
-  failed,      // its own failure, which may be the request's fault
-  broken,      // a cut, garbage, silence
-  unreachable, // no connection: nobody is there, or the way is cut
+// How an attempt at an endpoint failed.
+enum class endpoint_failure {
+  failed,      // an error answer, which the request may have caused
+  broken,      // connection lost, malformed answer or time-out
+  unreachable, // no connection: no process at the address, or a network failure
 };
 
 struct endpoint_health_options {
-  // After trouble with an endpoint it is left out this long, doubled for each further trouble.
-  std::chrono::milliseconds trouble_backoff{400};
-  std::chrono::milliseconds trouble_backoff_limit{3'000};
-  // An endpoint's trouble is a score: `trouble_limit` leaves it out, a failure of its own adds 1, a
-  // cut or silence adds `trouble_limit`, a success takes `success_relief` off. With 0.4, one that
-  // fails a seventh of its calls stays in, and one that fails three in ten goes out.
-  double trouble_limit = 1.5;
-  double success_relief = 0.4;
+  // Duration of the first ejection, doubled by each further failure.
+  std::chrono::milliseconds ejection_backoff{400};
+  std::chrono::milliseconds max_ejection{3'000};
+  // Each endpoint has a failure score. At `ejection_threshold` it is ejected; an error answer adds
+  // 1, a lost connection or a time-out adds `ejection_threshold`, a success subtracts
+  // `success_credit`. With 0.4, an endpoint that fails a seventh of its calls stays in use, and one
+  // that fails three in ten is ejected.
+  double ejection_threshold = 1.5;
+  double success_credit = 0.4;
 };
 
 // Not thread-safe.
@@ -35,26 +40,28 @@
  public:
   explicit endpoint_health(endpoint_health_options options) : options_(options) {}
 
-  // True if the endpoint is left out from now on.
-  bool on_trouble(const endpoint_id& id, endpoint_trouble kind, mono_time now);
+  // Returns true if this failure newly ejects the endpoint.
+  bool on_failure(const endpoint_id& id, endpoint_failure kind, mono_time now);
+  // Lowers the failure score.
   void on_success(const endpoint_id& id);
+  // Removes the state of an endpoint that is gone or has restarted.
   void forget(const endpoint_id& id) { known_.erase(id); }
 
-  // The clock's start if there was no trouble.
-  [[nodiscard]] mono_time left_out_until(const endpoint_id& id) const;
+  // When the ejection ends; the clock's epoch if there was none.
+  [[nodiscard]] mono_time ejected_until(const endpoint_id& id) const;
 
-  // Endpoints at which nobody was found a short time ago.
+  // Endpoints that were unreachable at a recent attempt.
   [[nodiscard]] std::vector<endpoint_id> unreachable(mono_time now) const;
 
  private:
-  struct standing {
-    double trouble = 0; // score
-    mono_time left_out_until;
+  struct health_state {
+    double failure_score = 0; // see `ejection_threshold`
+    mono_time ejected_until;
     mono_time unreachable_until;
   };
 
   endpoint_health_options options_;
-  std::map<endpoint_id, standing> known_;
+  std::map<endpoint_id, health_state> known_;
 };
 
 } // namespace wisteriaflow::gateway
--- a/include/wisteriaflow/gateway/endpoint_pool.h
+++ b/include/wisteriaflow/gateway/endpoint_pool.h
@@ -1,12 +1,14 @@
-// The endpoints that one daemon may send opaque requests to, and the choice among them.
+// The endpoints to which one daemon may send requests, and the choice among them. The content of
+// the requests is opaque to the pool.
 //
-// Endpoints come from the store (lists and changes, each at a revision) and from peers, which pass
-// on that an endpoint leaves. What is known at a higher revision wins, so that a stale list brings
-// no leaving endpoint back.
+// Endpoints come from the store (lists and changes, each at a revision) and from peers, which
+// report that an endpoint is leaving. Information at a higher revision takes precedence, so that an
+// outdated list doesn't bring a leaving endpoint back.
 //
 //   endpoint_pool pool({.zone = here, .seed = 1});
 //   pool.replace_all(listed, revision, now);
-//   if (auto chosen = pool.choose({.service = "chat", .prompt = parts, .target = t}, now)) {
+//   auto choice = pool.choose({.service = "chat", .prompt = parts, .target = t}, now);
+//   if (auto* chosen = std::get_if<pooled_endpoint>(&choice)) {
 //     pool.on_first_token(chosen->work, later);
 //     pool.on_finished(chosen->work, tokens, last);
 //   }
@@ -45,22 +47,22 @@
 
 namespace wisteriaflow::gateway {
 
-// An endpoint as the store describes it.
+// Description of an endpoint in the store.
 struct endpoint_record {
   endpoint_id id;
-  std::uint64_t revision = 0; // of the store, at which this was true
-  // When its process started, in Unix milliseconds by its own clock; 0: not told. Only a difference
-  // says something, that it is another process: the clocks of two instances may differ, and the
-  // revision tells which of two descriptions is the newer.
+  std::uint64_t revision = 0; // store revision of this description
+  // Start time of its process in Unix milliseconds by the instance's own clock; 0: not stated. It
+  // is only compared for equality, to detect another process: the clocks of two instances may
+  // differ. The revision decides which of two descriptions is newer.
   std::uint64_t incarnation = 0;
   std::string service;
-  std::string version; // of its software; empty: not told
+  std::string version; // version of its software; empty: not stated
   http::socket_address address;
   availability_zone zone;
-  std::uint32_t places = 1; // requests that it runs at once
+  std::uint32_t places = 1; // number of requests that it runs concurrently
   bool leaving = false;
   bool reclaimable = false;
-  bool cold = false; // has started a short time ago and is still slow
+  bool cold = false; // started recently and is still slow
 
   friend bool operator==(const endpoint_record&, const endpoint_record&) = default;
 };
@@ -69,21 +71,22 @@
   daemon_id self;
   availability_zone zone;
   std::uint64_t seed = 0;
-  // Departures are passed on to all peers for this long.
-  std::chrono::milliseconds departure_told{2'500};
-  // A peer's work counts for this long after it was told: peers of a large fleet are heard every
-  // 3.1 s at the least.
-  std::chrono::milliseconds work_valid{3'500};
+  // Departures are gossiped to all peers for this long.
+  std::chrono::milliseconds departure_gossip_duration{2'500};
+  // A peer's work report is used for this long after it was sent: in a large fleet, each peer's
+  // report arrives every 3.1 s at least.
+  std::chrono::milliseconds peer_work_ttl{3'500};
   endpoint_health_options health;
-  // Until an endpoint's own rate is measured.
+  // Assumed prefill rate until an endpoint's own rate is measured.
   double initial_prefill_rate = 30'000; // tokens/s
-  // An endpoint at which so many peers find nobody is left out here as well, so that not each
-  // daemon has to find out by time-outs of its own. One peer alone may itself be cut off.
-  std::uint32_t peers_believed = 2;
+  // An endpoint that this many peers report as unreachable is ejected here as well, so that not
+  // every daemon has to find out by time-outs of its own. A single peer may itself be disconnected
+  // from the network.
+  std::uint32_t unreachable_quorum = 2;
 };
 
-// What a choice needs to know.
-struct endpoint_wish {
+// Input of the choice of an endpoint.
+struct selection_criteria {
   std::string_view service;
   std::span<const prompt_part> prompt;
   std::optional<token_size> size;
@@ -91,25 +94,27 @@
   mono_time deadline;
   std::span<const endpoint_id> excluded;
   version_selection lane = {};
-  // Whether the caller may still be told that the call was not run. If not, it is sent to the least
-  // bad endpoint though it may come too late.
+  // Whether the call may still be refused as not run. If not, it is sent to the least loaded
+  // endpoint even if it is likely to miss its deadline.
   bool may_be_refused = true;
 };
 
-// The endpoint of one attempt. `work` is handed back as the attempt goes on.
+// The endpoint chosen for one attempt. `work` must be passed back to the pool as the attempt
+// proceeds.
 struct pooled_endpoint {
   endpoint_id id;
-  std::uint64_t incarnation = 0; // of the endpoint; see endpoint_record
+  std::uint64_t incarnation = 0; // see endpoint_record
   std::string version;
   http::socket_address address;
   routing::sent_work work;
-  // Another endpoint that probably holds the prompt's shared parts, to copy them from.
+  // Address of another endpoint that probably has the prompt's shared parts in its cache and from
+  // which they can be copied.
   std::optional<http::socket_address> prefix_source = std::nullopt;
 
   [[nodiscard]] endpoint_process process() const { return {.id = id, .incarnation = incarnation}; }
 };
 
-// An endpoint, or why there is none and when there may be one.
+// An endpoint, or the reason why there is none and when to retry.
 using pool_choice = std::variant<pooled_endpoint, routing::no_endpoint>;
 
 // Not thread-safe.
@@ -117,152 +122,167 @@
  public:
   explicit endpoint_pool(endpoint_pool_options options);
 
-  // All endpoints as of `revision`. Those not listed are gone, unless removals are on hold.
+  // Replaces the list of endpoints by that of store revision `revision`. Endpoints that are not
+  // listed are removed, unless removals are on hold.
   void replace_all(std::span<const endpoint_record> listed, std::uint64_t revision, mono_time now);
 
-  // One endpoint's new description.
+  // Applies one endpoint's new description; ignored if it is older than the known one.
   void apply(const endpoint_record& changed, mono_time now);
 
-  // The store has no entry any more.
-  void remove(const endpoint_departure& gone, mono_time now);
+  // The endpoint's entry was removed from the store.
+  void remove(const endpoint_departure& departure, mono_time now);
 
-  // Word that an endpoint leaves, from a peer or since its entry has become unusable. True if it is
-  // news for an endpoint in use here.
-  bool on_departure(const endpoint_departure& heard, mono_time now);
+  // An endpoint is leaving according to a peer, or because its entry has become unusable. Returns
+  // true if that was not known here and the endpoint was in use.
+  bool on_departure(const endpoint_departure& departure, mono_time now);
 
-  // Until `deadline`, an entry that vanishes may only have lapsed with the store and is kept; what
-  // is still missing then is gone.
-  void hold_removals_until(mono_time deadline) { hold_until_ = deadline; }
+  // Until `deadline`, entries that disappear from the store are kept, since they may only have
+  // expired during an outage of the store. Those still missing at the deadline are removed.
+  void hold_removals_until(mono_time deadline) { removals_held_until_ = deadline; }
 
-  // Whether a removal may be on hold. Until none is, this daemon knows less than it has read.
+  // Whether a removal may be on hold. As long as one is, this daemon's view is not equal to what it
+  // has read from the store.
   [[nodiscard]] bool holds_removals(mono_time now) const
   {
-    return now < hold_until_ || !held_removals_.empty();
+    return now < removals_held_until_ || !held_removals_.empty();
   }
 
-  // Carries out removals whose hold has ended. Call a few times a second.
+  // Performs removals whose hold has ended. Call this a few times a second.
   void tick(mono_time now);
 
-  // Whether any list was read.
-  [[nodiscard]] bool is_known() const { return listed_; }
+  // Whether a list was received at least once.
+  [[nodiscard]] bool has_list() const { return has_list_; }
 
-  // Whether an endpoint may be used but for what is told of it here; asked for each description.
-  using usable = std::function<bool(const endpoint_record&)>;
-  void use_only(usable may_be_used) { may_be_used_ = std::move(may_be_used); }
-  // The answers may be others now.
-  void check_usable();
+  // Whether an endpoint may be used, apart from what this pool knows about it. The filter is called
+  // for each description that is stored.
+  using usable_filter = std::function<bool(const endpoint_record&)>;
+  void set_usable_filter(usable_filter filter) { is_usable_ = std::move(filter); }
+  // Calls the filter again for all endpoints; to be called when its results may have changed.
+  void reapply_usable_filter();
 
-  // Endpoints of `service` that take new work.
+  // Endpoints of `service` that accept new requests.
   [[nodiscard]] std::vector<const endpoint_record*> serving(std::string_view service) const;
 
+  // All known endpoints, including leaving and unusable ones.
   [[nodiscard]] const std::map<endpoint_id, endpoint_record>& all() const { return records_; }
 
-  // Departures to pass on to peers.
+  // Departures to gossip to peers now.
   [[nodiscard]] std::vector<endpoint_departure> departures(mono_time now) const;
+  // Departures after `revision`, for a peer whose endpoint view is at that revision.
   [[nodiscard]] std::vector<endpoint_departure> departures_after(std::uint64_t revision) const
   {
-    return departures_.after(revision);
+    return departures_.since(revision);
   }
 
-  // The endpoint for one attempt, whose work is counted from now on. None if no endpoint takes new
-  // work, or if what waits at all of them makes the deadline unreachable.
-  [[nodiscard]] pool_choice choose(const endpoint_wish& wish, mono_time now);
+  // Chooses the endpoint for one attempt and counts the attempt as its work from now on. Returns
+  // routing::no_endpoint if no endpoint accepts new requests, or if the queues at all of them make
+  // the deadline unreachable.
+  [[nodiscard]] pool_choice choose(const selection_criteria& criteria, mono_time now);
 
-  // Whether the endpoint has started anew since it was chosen: what it ran then is lost.
+  // Whether the endpoint's process has restarted since it was chosen: its requests in flight are
+  // lost.
   [[nodiscard]] bool has_restarted(const pooled_endpoint& chosen) const;
 
-  // The daemons among which the rates are divided that endpoints name.
+  // Sets the daemons that share the request rates stated by endpoints.
   void set_fleet(fleet_view fleet, mono_time now) { terms_.set_fleet(std::move(fleet), now); }
 
-  // What an endpoint said of itself in an answer, and the same by the word of a peer.
-  terms_step on_answer(const answered_terms& said, mono_time now);
-  terms_step on_peer_terms(const told_terms& told, mono_time now);
-  [[nodiscard]] std::vector<told_terms> terms_to_tell(std::size_t most, mono_time now);
-  // Endpoints whose rate is kept, and those that have asked this daemon for a pause.
-  [[nodiscard]] std::size_t limited() const { return terms_.limited(); }
-  [[nodiscard]] std::size_t paused() const { return terms_.paused(); }
+  // Applies the terms in an answer of an endpoint or in a report of a peer; terms_to_gossip returns
+  // those of up to `most` endpoints for the next report to peers.
+  terms_action on_answer(const answer_terms& answer, mono_time now);
+  terms_action on_peer_terms(const peer_terms& received, mono_time now);
+  [[nodiscard]] std::vector<peer_terms> terms_to_gossip(std::size_t most, mono_time now);
+  // Number of endpoints with a rate limit, and of endpoints that have asked this daemon for a
+  // pause.
+  [[nodiscard]] std::size_t rate_limited_count() const { return terms_.rate_limited_count(); }
+  [[nodiscard]] std::size_t paused_count() const { return terms_.paused_count(); }
 
-  // Whether the process is known and nothing says that it leaves.
-  [[nodiscard]] bool is_staying(const endpoint_process& process) const;
+  // Whether the process is known and not known to be leaving.
+  [[nodiscard]] bool is_active(const endpoint_process& process) const;
 
-  // The attempt's first event or whole answer has come.
+  // The attempt's first event or complete answer has arrived.
   void on_first_token(routing::sent_work& work, mono_time now);
 
-  // The attempt is over, whatever became of it.
+  // The attempt has ended, with any result.
   void on_finished(const routing::sent_work& work, std::uint64_t output_tokens, mono_time now);
 
-  // The endpoint failed an attempt, or served one well. True if it is left out from now on.
-  bool on_trouble(const endpoint_id& id, endpoint_trouble kind, mono_time now);
+  // An attempt at the endpoint failed or succeeded. on_failure returns true if this failure newly
+  // ejects the endpoint.
+  bool on_failure(const endpoint_id& id, endpoint_failure kind, mono_time now);
   void on_success(const endpoint_id& id);
 
-  // Work of this daemon.
+  // Requests in flight from this daemon.
   [[nodiscard]] endpoint_work_map own_work() const;
 
-  // The same with the endpoints at which it finds nobody, for its peers; and what a peer told.
-  [[nodiscard]] endpoint_work_map work_to_tell(mono_time now) const;
-  void on_peer_work(const daemon_id& peer, endpoint_work_map work, mono_time told_at);
+  // The same together with the endpoints that are unreachable from here, to be sent to peers;
+  // on_peer_work stores such a report of a peer.
+  [[nodiscard]] endpoint_work_map work_to_gossip(mono_time now) const;
+  void on_peer_work(const daemon_id& peer, endpoint_work_map work, mono_time sent_at);
   [[nodiscard]] const peer_work_totals& peers() const { return peers_; }
 
-  // The same for prompt tokens. `refresh_loads` brings the own figure up to date.
+  // The same for prompt tokens to be computed. `refresh_loads` updates the own figure.
   [[nodiscard]] const prefill_demand& own_prefill() const { return meter_.local_rates(); }
-  void on_peer_prefill(const daemon_id& peer, prefill_demand demand, mono_time told_at);
+  void on_peer_prefill(const daemon_id& peer, prefill_demand demand, mono_time sent_at);
 
-  // Endpoints of `service` that the whole fleet's prompts, sent and waiting, would keep busy all
-  // the time; see demand_meter.h.
+  // Number of endpoints of `service` that the prompts of the whole fleet, sent and waiting, would
+  // keep fully busy; see demand_meter.h.
   [[nodiscard]] double busy_endpoints(std::string_view service, mono_time now);
 
-  // Takes the peers' work into account, as far as it still counts. Call a few times a second.
+  // Updates the load of the endpoints from the peers' reports that are still valid. Call this a few
+  // times a second.
   void refresh_loads(mono_time now);
 
  private:
-  // Endpoints of the wish's service by whether they may be chosen now.
+  // Endpoints of the requested service, by whether they may be chosen now.
   struct candidates {
     std::vector<routing::endpoint_slot> open;
-    std::vector<routing::endpoint_slot> left_out; // in trouble
-    // When the first of those opens that take no request now by the terms which they have stated.
+    std::vector<routing::endpoint_slot> ejected;
+    // Earliest time at which one of the endpoints opens that accept no request now under the terms
+    // that they have stated.
     std::optional<mono_time> opens_at;
   };
 
-  [[nodiscard]] candidates candidates_for(const endpoint_wish& wish, mono_time now) const;
-  // What a call is told that may not be sent anywhere for now.
-  routing::no_endpoint none_open(const endpoint_wish& wish, mono_time opens_at);
-  // Of the target's endpoints as few as carry the load of the present ones; see version_lane.
-  void keep_on_trial(const endpoint_wish& wish, std::vector<routing::endpoint_slot>& open) const;
-  // Where the fleet gathers prompts with this one's shared parts; see shared_prefix.h.
-  std::vector<routing::endpoint_slot> homes_of(const prompt_blocks& prompt, const token_size& size,
-                                               const std::vector<routing::endpoint_slot>& open,
-                                               mono_time now);
-  // Daemons whose work is known, this one included.
+  [[nodiscard]] candidates candidates_for(const selection_criteria& criteria, mono_time now) const;
+  // Result for a call that cannot be sent to any endpoint before `opens_at`.
+  routing::no_endpoint reject_until(const selection_criteria& criteria, mono_time opens_at);
+  // Keeps as few endpoints of the version on trial as its part of the traffic needs, in proportion
+  // to the number of present endpoints; see version_lane.
+  void limit_trial_endpoints(const selection_criteria& criteria,
+                             std::vector<routing::endpoint_slot>& open) const;
+  // Endpoints to which the fleet sends prompts with this one's shared parts; see shared_prefix.h.
+  std::vector<routing::endpoint_slot>
+  affinity_endpoints(const prompt_blocks& prompt, const token_size& size,
+                     const std::vector<routing::endpoint_slot>& open, mono_time now);
+  // Number of daemons whose work is known, including this one.
   [[nodiscard]] std::size_t live_daemons() const { return 1 + peers_.peer_count(); }
-  pool_choice choose_for_plain(const endpoint_wish& wish,
+  pool_choice choose_for_plain(const selection_criteria& criteria,
                                const std::vector<routing::endpoint_slot>& open, mono_time now);
-  // Where the endpoint in `slot` may copy the prompt's shared parts from.
+  // Address from which the endpoint in `slot` can copy the prompt's shared parts.
   [[nodiscard]] std::optional<http::socket_address>
   prefix_source_for(routing::endpoint_slot slot, const prompt_blocks& prompt,
                     const std::vector<routing::endpoint_slot>& open, mono_time now) const;
-  pooled_endpoint take(routing::endpoint_slot slot, int prefill,
-                       std::span<const std::uint64_t> blocks, const endpoint_wish& wish,
-                       mono_time now);
-  [[nodiscard]] mono_time left_out_until(routing::endpoint_slot slot) const;
-  // Whether it is in trouble, by this daemon's calls or by its peers' word.
-  [[nodiscard]] bool is_left_out(routing::endpoint_slot slot, mono_time now) const;
+  pooled_endpoint start_attempt(routing::endpoint_slot slot, int prefill,
+                                std::span<const std::uint64_t> blocks,
+                                const selection_criteria& criteria, mono_time now);
+  [[nodiscard]] mono_time ejected_until(routing::endpoint_slot slot) const;
+  // Whether it is ejected because of this daemon's failures or its peers' reports.
+  [[nodiscard]] bool is_ejected(routing::endpoint_slot slot, mono_time now) const;
   void store(const endpoint_record& record);
-  void note_usable(const endpoint_record& record);
+  void update_usable(const endpoint_record& record);
   void erase(const endpoint_id& id);
-  // Whether the process that `told` is of may be the one that is there now.
+  // Whether the process may be the one that is running now.
   [[nodiscard]] bool may_be_present(const endpoint_process& process) const;
-  // Gives the process no new work if it has said that it leaves.
+  // Sends no new requests to the process if it has stated that it is leaving.
   void apply_leaving(const endpoint_process& process);
   [[nodiscard]] endpoint_work own_work_at(const endpoint_id& id) const;
-  // An attempt stops waiting: its answer has begun, or it ended without.
+  // Ends the waiting of an attempt: its answer has begun, or it ended without one.
   void end_wait(endpoint_work& own, const routing::sent_work& work);
 
   endpoint_pool_options options_;
   routing::routing_options routing_;
   std::map<endpoint_id, endpoint_record> records_;
-  usable may_be_used_;
-  std::set<endpoint_id> not_usable_;
-  std::map<endpoint_id, std::uint64_t> held_removals_; // with the revision of the removal
+  usable_filter is_usable_;
+  std::set<endpoint_id> unusable_;
+  std::map<endpoint_id, std::uint64_t> held_removals_; // revision of each removal
   gateway::departures departures_;
   stated_terms terms_;
   peer_work_totals peers_;
@@ -271,10 +291,10 @@
   demand_meter meter_;
   routing::endpoint_table table_;
   routing::prefix_belief prefixes_;
-  prefix_spread spread_;
+  prefix_traffic_meter prefix_traffic_;
   std::mt19937_64 random_;
-  mono_time hold_until_;
-  bool listed_ = false;
+  mono_time removals_held_until_;
+  bool has_list_ = false;
 };
 
 } // namespace wisteriaflow::gateway
--- a/include/wisteriaflow/gateway/endpoint_process.h
+++ b/include/wisteriaflow/gateway/endpoint_process.h
@@ -1,4 +1,7 @@
-// One start of an endpoint: an endpoint may end and start again under the id that it had.
+// Identifies one process of an endpoint: an endpoint may terminate and restart under the same id,
+// and what was known about the previous process doesn't apply to the new one.
+//
+//   if (is_restart(known, now)) { ... discard the state of `known` ... }
 
 #ifndef WISTERIAFLOW_GATEWAY_ENDPOINT_PROCESS_H_
 #define WISTERIAFLOW_GATEWAY_ENDPOINT_PROCESS_H_
@@ -12,17 +15,18 @@
 
 struct endpoint_process {
   endpoint_id id;
-  std::uint64_t incarnation = 0; // when it started, as endpoint_record tells it; 0: not told
+  std::uint64_t incarnation = 0; // its start time as in endpoint_record; 0: unknown
 
   friend auto operator<=>(const endpoint_process&,
                           const endpoint_process&) = default; // NOLINT(modernize-use-nullptr)
 };
 
-// Whether they are two processes, one started after the other, of one endpoint.
+// Whether `before` and `now` are two different processes of one endpoint; false if the incarnation
+// of either is unknown.
 [[nodiscard]] inline bool is_restart(const endpoint_process& before, const endpoint_process& now)
 {
-  const bool told = before.incarnation != 0 && now.incarnation != 0;
-  return told && before.incarnation != now.incarnation;
+  const bool both_known = before.incarnation != 0 && now.incarnation != 0;
+  return both_known && before.incarnation != now.incarnation;
 }
 
 } // namespace wisteriaflow::gateway
--- a/include/wisteriaflow/gateway/endpoint_statement.h
+++ b/include/wisteriaflow/gateway/endpoint_statement.h
@@ -1,6 +1,6 @@
-// What an endpoint says of itself in the head of an answer, and what of it can be believed.
+// What an endpoint states about itself in the head of an answer, and its validation.
 //
-//   const auto terms = believed(head.statement);
+//   const auto terms = validated_terms(head.statement);
 //   if (terms.request_rate) { ... }
 //   for (const auto& text : terms.rejected) { ... log it ... }
 
@@ -14,37 +14,38 @@
 
 namespace wisteriaflow::gateway {
 
-// A value with the text that it was read from.
-template <typename value_type> struct stated {
+// A parsed value with the text that it was read from.
+template <typename value_type> struct parsed_value {
   std::string text;
-  std::optional<value_type> value; // nothing if the text cannot be read
+  std::optional<value_type> value; // nothing if the text is not valid
 
-  friend bool operator==(const stated&, const stated&) = default;
+  friend bool operator==(const parsed_value&, const parsed_value&) = default;
 };
 
-// As the answer has it. Fields that are absent say nothing.
+// The fields as found in the answer; absent fields state nothing.
 struct endpoint_statement {
-  std::optional<stated<bool>> leaving;
-  std::optional<stated<double>> request_rate; // requests/s, of the whole fleet
-  std::optional<stated<double>> pause;        // seconds without a request of this daemon
+  std::optional<parsed_value<bool>> leaving;
+  std::optional<parsed_value<double>> request_rate; // requests/s from the whole fleet
+  std::optional<parsed_value<double>> pause; // seconds in which this daemon must not send a request
 
   friend bool operator==(const endpoint_statement&, const endpoint_statement&) = default;
 };
 
-// The terms on which an endpoint takes requests, as far as they can be believed.
+// The terms on which an endpoint accepts requests, restricted to valid values.
 struct endpoint_terms {
   bool leaving = false;
-  std::optional<double> request_rate; // requests/s, of the whole fleet
+  std::optional<double> request_rate; // requests/s from the whole fleet
   std::optional<std::chrono::milliseconds> pause;
-  std::vector<std::string> rejected; // what is not believed, for the log
+  std::vector<std::string> rejected; // text of the invalid fields, for the log
 
   friend bool operator==(const endpoint_terms&, const endpoint_terms&) = default;
 };
 
-[[nodiscard]] endpoint_terms believed(const endpoint_statement& statement);
+// Returns the valid values of `statement`; the text of the invalid ones is in `rejected`.
+[[nodiscard]] endpoint_terms validated_terms(const endpoint_statement& statement);
 
-// Whether a rate, in requests/s, is one that an endpoint may mean.
-[[nodiscard]] bool is_credible_rate(double rate);
+// Whether `rate`, in requests/s, is in the valid range.
+[[nodiscard]] bool is_valid_rate(double rate);
 
 } // namespace wisteriaflow::gateway
 
--- a/include/wisteriaflow/gateway/endpoint_work.h
+++ b/include/wisteriaflow/gateway/endpoint_work.h
@@ -1,4 +1,4 @@
-// Calls of one or more daemons at an endpoint, as daemons count and tell them.
+// Counts of calls in flight at an endpoint, from one or more daemons, as exchanged between daemons.
 
 #ifndef WISTERIAFLOW_GATEWAY_ENDPOINT_WORK_H_
 #define WISTERIAFLOW_GATEWAY_ENDPOINT_WORK_H_
@@ -12,12 +12,13 @@
 namespace wisteriaflow::gateway {
 
 struct endpoint_work {
-  std::uint32_t waiting = 0; // no byte of an answer yet
+  std::uint32_t waiting = 0; // calls without any byte of an answer yet
   std::uint32_t running = 0;
-  // Prompt tokens of those that wait, to be computed. Prompts differ by a factor of a hundred: with
-  // the number alone a daemon takes a peer's 40,000 tokens for an average prompt and queues behind.
+  // Prompt tokens of the waiting calls that are still to be computed. Prompt sizes differ by a
+  // factor of a hundred: from the number of calls alone, a daemon would mistake a peer's 40,000
+  // tokens for an average prompt and queue behind it.
   std::uint64_t waiting_tokens = 0;
-  // Daemons that found nobody at its address a short time ago.
+  // Number of daemons that recently could not reach it.
   std::uint32_t unreachable = 0;
 
   friend bool operator==(const endpoint_work&, const endpoint_work&) = default;
@@ -25,9 +26,9 @@
 
 using endpoint_work_map = std::map<endpoint_id, endpoint_work>;
 
-// The `most` endpoints of `work` that a peer should know of first: those at which nobody is found,
-// then those where the most waits.
-[[nodiscard]] endpoint_work_map most_of(endpoint_work_map work, std::size_t most);
+// The `most` entries of `work` that are most important to peers: unreachable endpoints first, then
+// those with the most waiting tokens.
+[[nodiscard]] endpoint_work_map top_endpoints(endpoint_work_map work, std::size_t most);
 
 } // namespace wisteriaflow::gateway
 
--- a/include/wisteriaflow/gateway/pace.h
+++ b/include/wisteriaflow/gateway/pace.h
@@ -1,7 +1,11 @@
-// Tells a slow call from an ordinary one of its route, whatever the route's calls take.
+// Detects calls that are slow compared with other calls of the same route.
 //
-// The limit is an upper quantile of what calls took lately, estimated step by step (stochastic
-// approximation), so that nothing is known beforehand of sizes or engines.
+// The threshold is an upper quantile of recent call durations, estimated by stochastic
+// approximation, so that request sizes and engines need not be known.
+//
+//   slow_call_detector detector;
+//   const auto slow = detector.is_slow(seconds); // nothing until there are enough samples
+//   detector.add_sample(seconds);
 
 #ifndef WISTERIAFLOW_GATEWAY_PACE_H_
 #define WISTERIAFLOW_GATEWAY_PACE_H_
@@ -11,29 +15,29 @@
 
 namespace wisteriaflow::gateway {
 
-struct pace_options {
+struct slow_call_options {
   double quantile = 0.85;
-  double step = 0.1; // of the estimate, for one sample
-  // Before anything counts as slow. A rough limit does no harm where calls of two kinds are
-  // compared by the same one, and a daemon of a large fleet gets few calls of a route.
-  std::size_t samples = 4;
+  double step = 0.1; // relative change of the estimate by one sample
+  // Samples before any call counts as slow. A rough threshold does no harm where calls of two kinds
+  // are compared with the same one, and a daemon of a large fleet gets few calls of a route.
+  std::size_t min_samples = 4;
 };
 
 // Not thread-safe.
-class pace_limit {
+class slow_call_detector {
  public:
-  explicit pace_limit(pace_options options = {}) : options_(options) {}
+  explicit slow_call_detector(slow_call_options options = {}) : options_(options) {}
 
-  // Whether a call that took `seconds` is slow; nothing until enough is known.
+  // Whether a call that took `seconds` is slow; nothing if there are too few samples.
   [[nodiscard]] std::optional<bool> is_slow(double seconds) const;
 
-  // An ordinary call took so long.
-  void note(double seconds);
+  // Adds the duration of a call to the estimate.
+  void add_sample(double seconds);
 
  private:
-  pace_options options_;
-  double limit_ = 0; // seconds
-  std::size_t noted_ = 0;
+  slow_call_options options_;
+  double threshold_ = 0; // seconds
+  std::size_t sample_count_ = 0;
 };
 
 } // namespace wisteriaflow::gateway
--- a/include/wisteriaflow/gateway/peer_report.h
+++ b/include/wisteriaflow/gateway/peer_report.h
@@ -75,7 +75,7 @@
   endpoint_work_map work;            // of the sender
   prefill_demand prefill;            // of the sender
   std::vector<endpoint_departure> departures;
-  std::vector<told_terms> terms; // terms that endpoints have stated
+  std::vector<peer_terms> terms; // terms that endpoints have stated
   endpoint_view endpoints;       // how current the sender's view of the endpoints is
   std::vector<usage_row> usage;
   // Roll-out orders, complete up to the store revision `rollouts_revision`, and the outcomes of the
@@ -83,7 +83,7 @@
   rollout_registry::entries rollouts;
   std::uint64_t rollouts_revision = 0;
   std::vector<rollout_row> rollout_rows;
-  crash_news crashes;             // crashes that the sender learned of recently
+  crash_report crashes;           // crashes that the sender learned of recently
   std::uint64_t crash_digest = 0; // over all crashes that the sender knows; see crash_suspects
   // Time since the report was made. Sent in a header, not in the encoded report.
   std::chrono::milliseconds age{0};
--- a/include/wisteriaflow/gateway/rate_shares.h
+++ b/include/wisteriaflow/gateway/rate_shares.h
@@ -1,9 +1,9 @@
-// This daemon's shares of the rates at which endpoints take requests from the whole fleet.
+// This daemon's shares of the rates at which endpoints accept requests from the whole fleet.
 //
-// Nobody is asked for a request. Of the daemons that hear each other a few hold a share of an
-// endpoint's rate, by rendezvous hashing; the others send nothing there. Their number is bounded,
-// since each may have saved up a request: with a share for every daemon a large fleet would exceed
-// a low rate by their number alone.
+// Sending a request needs no coordination. Among the daemons that hear each other, a few hold a
+// share of an endpoint's rate, selected by rendezvous hashing; the others send nothing there. The
+// number of holders is bounded, since each may have saved up a request: if every daemon had a
+// share, a large fleet would exceed a low rate by the number of daemons alone.
 //
 //   shares.set(endpoint, 1.5, now);
 //   if (shares.open_at(endpoint, now) <= now) {
@@ -29,33 +29,34 @@
  public:
   explicit rate_shares(daemon_id self) : self_(std::move(self)) {}
 
-  // Divides all rates anew. A share that is new here begins without a request saved up.
+  // Divides all rates again for a changed fleet. A share that this daemon did not hold before
+  // starts without a saved-up request.
   void set_fleet(fleet_view fleet, mono_time now);
 
-  // From now on the endpoint takes `rate` requests a second of the whole fleet.
+  // Sets the endpoint's rate, in requests/s from the whole fleet.
   void set(const endpoint_id& id, double rate, mono_time now);
 
-  // It takes any number.
+  // Removes the endpoint's rate limit.
   void clear(const endpoint_id& id) { entries_.erase(id); }
 
-  // When one more request may be sent: `now`, or later. Where this daemon holds no share, the time
-  // at which one of those that do may send the next.
+  // When one more request may be sent: `now`, or later. If this daemon holds no share, the time at
+  // which one of the holders may send its next request.
   [[nodiscard]] mono_time open_at(const endpoint_id& id, mono_time now) const;
 
-  // A request is sent.
+  // Consumes one request of this daemon's share.
   void take(const endpoint_id& id, mono_time now);
 
-  // Endpoints whose rate is kept.
-  [[nodiscard]] std::size_t number() const { return entries_.size(); }
+  // Number of endpoints with a rate limit.
+  [[nodiscard]] std::size_t size() const { return entries_.size(); }
 
  private:
   struct entry {
-    double rate = 0; // requests/s, of the whole fleet
-    bool held = false;
+    double rate = 0; // requests/s from the whole fleet
+    bool has_share = false;
     admission::rate_limit share{0, {}};
   };
 
-  void divide(const endpoint_id& id, entry& it, mono_time now);
+  void assign_share(const endpoint_id& id, entry& it, mono_time now);
 
   daemon_id self_;
   fleet_view fleet_;
--- a/include/wisteriaflow/gateway/request_content.h
+++ b/include/wisteriaflow/gateway/request_content.h
@@ -1,7 +1,8 @@
-// Which requests are the same request sent again.
+// Identifies requests that are repetitions of the same request.
 //
-// Each attempt of a caller has an id of its own, so ids do not tell. Requests of one workspace to
-// the same host, method and target (the path and the query) with the same body have one content.
+// Each attempt of a caller has its own request id, so that ids cannot be used for this. Requests
+// from one workspace to the same host, method and target (the path and the query) with the same
+// body have one content id.
 //
 //   const auto content = content_of(workspace, request);
 //   log.write(..., {{"content", to_string(content)}});
@@ -21,7 +22,7 @@
 
 namespace wisteriaflow::gateway {
 
-// Names a content; equal in every daemon.
+// Hash that identifies a request content; equal in all daemons.
 struct content_id {
   hash128 hash;
 
@@ -29,13 +30,14 @@
                           const content_id&) = default; // NOLINT(modernize-use-nullptr)
 };
 
-// The workspace stands for the caller: one that has several keys is the same caller under each.
+// Computes the content id of a request. The workspace identifies the caller: one with several API
+// keys is the same caller under each of them.
 [[nodiscard]] content_id content_of(const workspace_id& workspace, const http::request& request);
 
-// 32 hexadecimal digits, for logs and for peers.
+// 32 hexadecimal digits, as used in logs and in messages to peers.
 [[nodiscard]] std::string to_string(const content_id& content);
 
-// Nothing if `text` is not of that form.
+// Parses the output of to_string(); nothing if `text` has another form.
 [[nodiscard]] std::optional<content_id> parse_content_id(std::string_view text);
 
 } // namespace wisteriaflow::gateway
--- a/include/wisteriaflow/gateway/retry_policy.h
+++ b/include/wisteriaflow/gateway/retry_policy.h
@@ -1,14 +1,13 @@
-// How long a daemon waits before it makes a failed call of the store again.
+// Backoff of a daemon between failed calls to the store.
 //
-// The load that this answers: a store that turns a part of a fleet away for seconds. Each daemon
-// there asks again and again with several loops, and every call is priced and adds to the load of a
-// store in trouble. So the pause doubles with each failure in a row up to a limit, and where peers
-// pass on what the store holds, the limit grows with the fleet, so that all daemons together make a
-// bounded number of calls. It stays below the time in which a daemon that reaches the store again
-// has to know what holds there.
+// It handles a store that refuses a part of the fleet for seconds. Each daemon there retries in
+// several loops, and every call costs money and adds to the load of a failing store. Therefore the
+// backoff doubles with each consecutive failure up to a limit. If peers relay the store's contents,
+// the limit grows with the fleet, so that all daemons together make a bounded number of calls. It
+// stays below the time in which a daemon that reaches the store again must know its contents.
 //
 //   retry_policy policy({}, seed);
-//   wait(policy.pause_after(failures, {.daemons = 195, .peers_tell = true}));
+//   wait(policy.backoff_after(failures, {.daemons = 195, .peers_relay_store = true}));
 
 #ifndef WISTERIAFLOW_GATEWAY_RETRY_POLICY_H_
 #define WISTERIAFLOW_GATEWAY_RETRY_POLICY_H_
@@ -21,20 +20,20 @@
 namespace wisteriaflow::gateway {
 
 struct retry_policy_options {
-  std::chrono::milliseconds first{100};
-  // Limits of the pause. The lower one is for a daemon that only the store can tell. With the upper
-  // one a daemon that the store serves again knows within 5 s what holds there.
-  std::chrono::milliseconds least_limit{1'000};
-  std::chrono::milliseconds most_limit{4'000};
-  // Calls of one loop that all daemons together make while none of them is served.
+  std::chrono::milliseconds initial{100};
+  // Range of the backoff limit. The lower end applies to a daemon that only the store can inform.
+  // With the upper end, a daemon that reaches the store again knows its contents within 5 s.
+  std::chrono::milliseconds min_limit{1'000};
+  std::chrono::milliseconds max_limit{4'000};
+  // Bound on the calls that one loop makes in all daemons together while all of them fail.
   double fleet_calls_per_second = 4;
 };
 
-struct retry_situation {
-  std::size_t daemons = 1; // that may be calling, this one included
-  bool peers_tell = false; // whether this daemon hears from peers what the store holds
+struct retry_context {
+  std::size_t daemons = 1;        // number of daemons that may be calling, including this one
+  bool peers_relay_store = false; // whether peers relay the store's contents to this daemon
 
-  friend bool operator==(const retry_situation&, const retry_situation&) = default;
+  friend bool operator==(const retry_context&, const retry_context&) = default;
 };
 
 // Not thread-safe.
@@ -44,13 +43,13 @@
   {
   }
 
-  // The pause after so many failures in a row, at least one; between half of the longest and the
-  // longest, so that daemons that failed together do not come back together.
-  [[nodiscard]] std::chrono::milliseconds pause_after(unsigned failures,
-                                                      const retry_situation& situation);
+  // Backoff after this many consecutive failures (at least one), drawn uniformly between half of
+  // the longest backoff and the longest, so that daemons that failed together don't retry together.
+  [[nodiscard]] std::chrono::milliseconds backoff_after(unsigned failures,
+                                                        const retry_context& situation);
 
  private:
-  [[nodiscard]] std::chrono::milliseconds limit_in(const retry_situation& situation) const;
+  [[nodiscard]] std::chrono::milliseconds max_backoff_for(const retry_context& situation) const;
 
   retry_policy_options options_;
   std::mt19937_64 random_;
--- a/include/wisteriaflow/gateway/return_time.h
+++ b/include/wisteriaflow/gateway/return_time.h
@@ -1,11 +1,11 @@
-// When a refused call is told to come back.
+// Computes when a refused call should be retried.
 //
-// When load is at its worst many calls are refused in the same moment. Told the same time, they
-// would all come back together, meet the same queue, and be refused again. So each is told a time
-// of its own after the one at which there is room: the more urgent ranks come first, and within a
-// rank the calls are spread evenly.
+// Under the highest load many calls are refused at the same moment. If all were given the same
+// time, they would return together, find the same queue and be refused again. Therefore each call
+// gets its own time after the moment at which capacity is available: more urgent ranks come first,
+// and the calls of one rank are spread evenly.
 //
-//   const auto at = return_time({.now = now, .open_at = room_at, .rank = priority}, rng);
+//   const auto at = retry_time({.now = now, .open_at = available_at, .rank = priority}, rng);
 
 #ifndef WISTERIAFLOW_GATEWAY_RETURN_TIME_H_
 #define WISTERIAFLOW_GATEWAY_RETURN_TIME_H_
@@ -19,14 +19,14 @@
 
 struct refused_call {
   mono_time now;
-  std::optional<mono_time> open_at; // when there will be room, if that is known
+  std::optional<mono_time> open_at; // when capacity becomes available, if known
   int rank = 0;                     // 0 is the most urgent
 
   friend bool operator==(const refused_call&, const refused_call&) = default;
 };
 
-// Never before `open_at`, and never in the past.
-[[nodiscard]] mono_time return_time(const refused_call& call, std::mt19937_64& rng);
+// Returns a time in the future and never before `call.open_at`.
+[[nodiscard]] mono_time retry_time(const refused_call& call, std::mt19937_64& rng);
 
 } // namespace wisteriaflow::gateway
 
--- a/include/wisteriaflow/gateway/stated_terms.h
+++ b/include/wisteriaflow/gateway/stated_terms.h
@@ -1,14 +1,15 @@
-// The terms that endpoints state in their answers, kept by the whole fleet.
+// The terms that endpoints state in their answers, shared by the whole fleet.
 //
-// An answer reaches one daemon, so daemons tell each other what they have heard. What was said last
-// counts. A rate is over only by an answer to a request that was sent after it had been named: an
-// answer on its way may be older than the word of another daemon. A process that has said that it
-// leaves does so, whatever comes later: entries of the store may be older, or come back after they
-// lapsed. A pause is asked of one daemon, and no other is told of it.
+// An answer reaches only one daemon, so daemons gossip the terms that they receive. The latest
+// statement counts. A rate limit ends only with an answer to a request that was sent after the
+// limit had been stated: an answer in flight may be older than the statement that another daemon
+// received. A process that has stated that it is leaving is treated as leaving whatever comes
+// later: entries of the store may be older, or reappear after they expired. A pause is requested
+// from one daemon and is not gossiped.
 //
-//   const answered_terms said{.process = p, .terms = t, .sent_at = sent, .is_signed = true};
-//   if (terms.on_answer(said, now) == terms_step::tell) {
-//     ... tell the peers terms.to_tell(32, is_in_use, now) ...
+//   const answer_terms answer{.process = p, .terms = t, .sent_at = sent, .is_signed = true};
+//   if (terms.on_answer(answer, now) == terms_action::gossip) {
+//     ... send terms.to_gossip(32, is_in_use, now) to the peers ...
 //   }
 //   if (terms.open_at(id, now) <= now) { terms.on_sent(id, now); ... }
 
@@ -32,29 +33,29 @@
 
 namespace wisteriaflow::gateway {
 
-// What an answer says of the endpoint that gave it.
-struct answered_terms {
+// The terms in an answer, with the process that gave it.
+struct answer_terms {
   endpoint_process process;
   endpoint_terms terms;
-  mono_time sent_at; // the request
+  mono_time sent_at; // when the request was sent
   bool is_signed = false;
 };
 
-// What a daemon tells its peers of one endpoint.
-struct told_terms {
+// The terms of one endpoint as sent between daemons.
+struct peer_terms {
   endpoint_process process;
-  std::optional<double> request_rate; // requests/s; nothing: it names none any more
+  std::optional<double> request_rate; // requests/s; nothing: no limit any more
   bool leaving = false;
-  std::chrono::milliseconds age{0}; // since it was said
+  std::chrono::milliseconds age{0}; // since the endpoint stated them
 
-  friend bool operator==(const told_terms&, const told_terms&) = default;
+  friend bool operator==(const peer_terms&, const peer_terms&) = default;
 };
 
-// What to do about a statement.
-enum class terms_step {
+// What to do after receiving terms.
+enum class terms_action {
   nothing,
-  tell,   // it is news, of which peers should hear at once
-  reject, // its figure makes no sense, and nothing is changed
+  gossip, // the terms have changed, and peers should get them at once
+  reject, // a value is invalid, and nothing was changed
 };
 
 // Not thread-safe.
@@ -62,65 +63,68 @@
  public:
   explicit stated_terms(daemon_id self) : shares_(std::move(self)) {}
 
+  // Sets the daemons that share the rates.
   void set_fleet(fleet_view fleet, mono_time now) { shares_.set_fleet(std::move(fleet), now); }
 
-  terms_step on_answer(const answered_terms& said, mono_time now);
+  // Applies the terms in an answer to a request of this daemon.
+  terms_action on_answer(const answer_terms& answer, mono_time now);
 
-  // The word of a peer.
-  terms_step on_told(const told_terms& told, mono_time now);
+  // Applies terms received from a peer.
+  terms_action on_peer_terms(const peer_terms& received, mono_time now);
 
-  // Another process of the endpoint has started: what was said by the one before is void.
-  void forget(const endpoint_id& id);
+  // Another process of the endpoint has started: statements of the previous one are void.
+  void remove(const endpoint_id& id);
 
-  // Forgets what nobody has said for long. Call a few times a second.
+  // Removes terms that were not confirmed for a long time. Call this a few times a second.
   void tick(mono_time now);
 
   // When one more request may be sent to the endpoint: `now`, or later.
   [[nodiscard]] mono_time open_at(const endpoint_id& id, mono_time now) const;
+  // Counts a request to the endpoint against its rate.
   void on_sent(const endpoint_id& id, mono_time now) { shares_.take(id, now); }
 
-  // Whether the process has said that it leaves.
+  // Whether the process has stated that it is leaving.
   [[nodiscard]] bool is_leaving(const endpoint_process& process) const;
 
-  // Up to `most` endpoints for a report: what is new first, then the others that are in use, each
-  // in turn.
+  // Terms of up to `most` endpoints for a report to peers: changed terms first, then those of the
+  // other endpoints in use, each group in rotation.
   using in_use = std::function<bool(const endpoint_id&)>;
-  [[nodiscard]] std::vector<told_terms> to_tell(std::size_t most, const in_use& is_in_use,
-                                                mono_time now);
+  [[nodiscard]] std::vector<peer_terms> to_gossip(std::size_t most, const in_use& is_in_use,
+                                                  mono_time now);
 
-  // Endpoints that have asked this daemon for a pause which has not ended.
-  [[nodiscard]] std::size_t paused() const { return paused_until_.size(); }
+  // Number of endpoints that have asked this daemon for a pause that has not ended.
+  [[nodiscard]] std::size_t paused_count() const { return paused_until_.size(); }
 
-  // Endpoints whose rate is kept.
-  [[nodiscard]] std::size_t limited() const { return shares_.number(); }
+  // Number of endpoints with a rate limit.
+  [[nodiscard]] std::size_t rate_limited_count() const { return shares_.size(); }
 
  private:
   struct entry {
     std::uint64_t incarnation = 0;
     std::optional<double> request_rate;
     bool leaving = false;
-    mono_time said_at;
+    mono_time stated_at;
     mono_time changed_at;
   };
 
   using entry_map = std::map<endpoint_id, entry>;
 
-  // The entry of the process; void of what another process of the endpoint had said.
+  // The entry of the process; it is cleared first if it was another process of the endpoint.
   entry& entry_of(const endpoint_process& process);
-  // True if that changes it.
+  // Returns true if that changes the entry.
   bool set_rate(const endpoint_id& id, entry& it, std::optional<double> rate, mono_time now);
   static bool set_leaving(entry& it, mono_time now);
-  [[nodiscard]] static told_terms tell(const entry_map::value_type& it, mono_time now);
+  [[nodiscard]] static peer_terms to_peer_terms(const entry_map::value_type& it, mono_time now);
 
-  // Adds wanted entries, beginning after the one told last.
+  // Appends selected entries to `out`, starting after the last one sent.
   template <typename predicate>
-  void tell_in_turn(std::vector<told_terms>& out, std::size_t most, predicate is_wanted,
-                    mono_time now);
+  void append_round_robin(std::vector<peer_terms>& out, std::size_t most, predicate is_selected,
+                          mono_time now);
 
   rate_shares shares_;
   entry_map entries_;
   std::map<endpoint_id, mono_time> paused_until_;
-  endpoint_id next_; // to tell
+  endpoint_id next_gossiped_; // start of the next rotation
 };
 
 } // namespace wisteriaflow::gateway
--- a/include/wisteriaflow/gateway/terms_codec.h
+++ b/include/wisteriaflow/gateway/terms_codec.h
@@ -1,4 +1,4 @@
-// The terms of endpoints as daemons tell them to each other, as JSON.
+// JSON encoding of endpoint terms in messages between daemons.
 
 #ifndef WISTERIAFLOW_GATEWAY_TERMS_CODEC_H_
 #define WISTERIAFLOW_GATEWAY_TERMS_CODEC_H_
@@ -11,10 +11,11 @@
 
 namespace wisteriaflow::gateway {
 
-[[nodiscard]] boost::json::value encode_terms(const std::vector<told_terms>& terms);
+// Encodes terms as a JSON array.
+[[nodiscard]] boost::json::value encode_terms(const std::vector<peer_terms>& terms);
 
-// Throws std::exception if it cannot be read.
-[[nodiscard]] std::vector<told_terms> decode_terms(const boost::json::value& from);
+// Throws an exception derived from std::exception if `from` is not valid.
+[[nodiscard]] std::vector<peer_terms> decode_terms(const boost::json::value& from);
 
 } // namespace wisteriaflow::gateway
 
--- a/include/wisteriaflow/gateway/version_traffic.h
+++ b/include/wisteriaflow/gateway/version_traffic.h
@@ -124,8 +124,8 @@
  private:
   // Usual durations of a route's calls.
   struct route_pace {
-    pace_limit first;
-    pace_limit event;
+    slow_call_detector first;
+    slow_call_detector event;
   };
 
   struct order_state {
--- a/src/gateway/answer_verdict.cc
+++ b/src/gateway/answer_verdict.cc
@@ -7,9 +7,9 @@
 
 namespace status = http::status;
 
-// Statuses by which callers understand "not run". An endpoint that does not promise it in so many
-// words must not have them passed on.
-bool sounds_not_run(int code)
+// Statuses that callers take to mean "not run". If the endpoint doesn't state explicitly that it
+// did not run the request, such a status must not be forwarded.
+bool implies_not_run(int code)
 {
   return code == status::request_timeout || code == status::misdirected ||
          code == status::too_many_requests || code == status::unavailable;
@@ -17,13 +17,13 @@
 
 } // namespace
 
-attempt_outcome judge(const answer_head& head, const std::string& request_id)
+attempt_outcome classify_answer(const answer_head& head, const std::string& request_id)
 {
   if (head.not_run) {
     return attempt_outcome::not_run;
   }
   const bool other_request = !head.request_id.empty() && head.request_id != request_id;
-  if (other_request || sounds_not_run(head.status)) {
+  if (other_request || implies_not_run(head.status)) {
     return attempt_outcome::broken;
   }
   if (status::is_success(head.status)) {
@@ -34,7 +34,7 @@
                                                    : attempt_outcome::answered;
 }
 
-attempt_history after(attempt_history history, attempt_outcome outcome)
+attempt_history record_attempt(attempt_history history, attempt_outcome outcome)
 {
   ++history.sent;
   history.may_have_run = history.may_have_run || outcome != attempt_outcome::not_run;
@@ -49,7 +49,7 @@
   return history.timed_out ? status::gateway_timeout : status::bad_gateway;
 }
 
-bool may_send_again(const route& r, const attempt_history& history)
+bool may_retry(const route& r, const attempt_history& history)
 {
   if (history.sent >= r.max_attempts) {
     return false;
--- a/src/gateway/crash_codec.cc
+++ b/src/gateway/crash_codec.cc
@@ -29,7 +29,7 @@
 {
   const auto content = parse_content_id(text);
   if (!content) {
-    throw crash_news_error("not a content: " + std::string(text));
+    throw crash_report_error("not a content id: " + std::string(text));
   }
   return *content;
 }
@@ -52,9 +52,9 @@
   return out;
 }
 
-crash_news decode(const json::value& from)
+crash_report decode(const json::value& from)
 {
-  crash_news out;
+  crash_report out;
   for (const auto& crash : from.at("crashes").as_array()) {
     out.crashes.push_back(decode_crash(crash));
   }
@@ -66,25 +66,25 @@
 
 } // namespace
 
-json::value encode_crash_news(const crash_news& news)
+json::value encode_crash_report(const crash_report& report)
 {
   json::array crashes;
-  for (const auto& crash : news.crashes) {
+  for (const auto& crash : report.crashes) {
     crashes.push_back(encode(crash));
   }
   json::object answered;
-  for (const auto& [content, at] : news.answered) {
+  for (const auto& [content, at] : report.answered) {
     answered[to_string(content)] = to_unix_ms(at);
   }
   return {{"crashes", std::move(crashes)}, {"answered", std::move(answered)}};
 }
 
-crash_news decode_crash_news(const json::value& from)
+crash_report decode_crash_report(const json::value& from)
 {
   try {
     return decode(from);
   } catch (const std::exception& e) {
-    throw crash_news_error(std::string("unreadable crash news: ") + e.what());
+    throw crash_report_error(std::string("invalid crash report: ") + e.what());
   }
 }
 
--- a/src/gateway/departures.cc
+++ b/src/gateway/departures.cc
@@ -5,39 +5,39 @@
 
 using std::chrono::milliseconds;
 
-// The last requests at an endpoint that leaves have ended after this.
-constexpr milliseconds last_requests{30'000};
-// A record older than the departure may still arrive with a stale list for this long.
+// The last requests at a leaving endpoint have ended after this time.
+constexpr milliseconds request_drain_time{30'000};
+// For this long, an outdated list may still contain a record older than the departure.
 constexpr milliseconds kept_for{120'000};
 
 } // namespace
 
-void departures::note(const endpoint_departure& d, mono_time now)
+void departures::record(const endpoint_departure& d, mono_time now)
 {
   auto& it = entries_[d.id];
   if (d.revision > it.revision) {
-    it = {.revision = d.revision, .noted_at = now};
+    it = {.revision = d.revision, .recorded_at = now};
   }
 }
 
-bool departures::covers(const endpoint_id& id, std::uint64_t revision) const
+bool departures::had_departed(const endpoint_id& id, std::uint64_t revision) const
 {
   const auto it = entries_.find(id);
   return it != entries_.end() && revision <= it->second.revision;
 }
 
-std::vector<endpoint_departure> departures::to_tell(mono_time now) const
+std::vector<endpoint_departure> departures::to_gossip(mono_time now) const
 {
   std::vector<endpoint_departure> out;
   for (const auto& [id, d] : entries_) {
-    if (now < d.noted_at + told_for_) {
+    if (now < d.recorded_at + gossip_duration_) {
       out.push_back({.id = id, .revision = d.revision});
     }
   }
   return out;
 }
 
-std::vector<endpoint_departure> departures::after(std::uint64_t revision) const
+std::vector<endpoint_departure> departures::since(std::uint64_t revision) const
 {
   std::vector<endpoint_departure> out;
   for (const auto& [id, d] : entries_) {
@@ -48,20 +48,20 @@
   return out;
 }
 
-std::vector<endpoint_id> departures::over(mono_time now) const
+std::vector<endpoint_id> departures::completed(mono_time now) const
 {
   std::vector<endpoint_id> out;
   for (const auto& [id, d] : entries_) {
-    if (d.noted_at + last_requests <= now) {
+    if (d.recorded_at + request_drain_time <= now) {
       out.push_back(id);
     }
   }
   return out;
 }
 
-void departures::forget_old(mono_time now)
+void departures::remove_expired(mono_time now)
 {
-  std::erase_if(entries_, [&](const auto& it) { return it.second.noted_at + kept_for < now; });
+  std::erase_if(entries_, [&](const auto& it) { return it.second.recorded_at + kept_for < now; });
 }
 
 } // namespace wisteriaflow::gateway
--- a/src/gateway/endpoint_feed.cc
+++ b/src/gateway/endpoint_feed.cc
@@ -7,10 +7,11 @@
 
 using std::chrono::milliseconds;
 
-// Parts of the notice after which the store is read again, and by how much they vary.
-constexpr double reader_part = 0.3;
-constexpr double other_part = 0.6;
-constexpr double least_of_part = 0.85;
+// Fractions of `max_leaving_delay` after which the store is read again, and the lower bound of the
+// random factor on them.
+constexpr double reader_fraction = 0.3;
+constexpr double follower_fraction = 0.6;
+constexpr double min_jitter = 0.85;
 
 } // namespace
 
@@ -19,17 +20,17 @@
 {
 }
 
-void endpoint_feed::move_to(std::uint64_t revision, mono_time read_at)
+void endpoint_feed::advance_to(std::uint64_t revision, mono_time read_at)
 {
   revision_ = std::max(revision_, revision);
   if (read_at <= read_at_) {
     return;
   }
   read_at_ = read_at;
-  std::uniform_real_distribution<double> varied(least_of_part, 1);
-  const double part = varied(random_) * (is_reader_ ? reader_part : other_part);
-  const auto pause = part * static_cast<double>(options_.notice.count());
-  due_at_ = read_at + milliseconds(static_cast<std::int64_t>(pause));
+  std::uniform_real_distribution<double> varied(min_jitter, 1);
+  const double fraction = varied(random_) * (is_reader_ ? reader_fraction : follower_fraction);
+  const auto pause = fraction * static_cast<double>(options_.max_leaving_delay.count());
+  next_read_at_ = read_at + milliseconds(static_cast<std::int64_t>(pause));
 }
 
 void endpoint_feed::on_list(const std::map<endpoint_id, endpoint_record>& known,
@@ -37,20 +38,20 @@
 {
   retain(known);
   removals_after_ = revision;
-  move_to(revision, asked_at);
+  advance_to(revision, asked_at);
 }
 
 void endpoint_feed::on_read(std::uint64_t revision, mono_time asked_at)
 {
-  move_to(revision, asked_at);
+  advance_to(revision, asked_at);
 }
 
-void endpoint_feed::on_partly_read(std::uint64_t revision)
+void endpoint_feed::on_partial_read(std::uint64_t revision)
 {
-  move_to(revision, read_at_);
+  advance_to(revision, read_at_);
 }
 
-void endpoint_feed::note(const endpoint_record& record)
+void endpoint_feed::update(const endpoint_record& record)
 {
   const auto [it, added] = descriptions_.try_emplace(record.id);
   auto& known = it->second;
@@ -65,16 +66,16 @@
   known.record = record;
 }
 
-void endpoint_feed::note_fetched(const endpoint_record& record)
+void endpoint_feed::update_from_peer(const endpoint_record& record)
 {
-  note(record);
+  update(record);
   mark_changed(descriptions_.at(record.id), record.revision);
 }
 
-void endpoint_feed::forget(const endpoint_departure& gone)
+void endpoint_feed::on_departure(const endpoint_departure& departure)
 {
-  descriptions_.erase(gone.id);
-  changed_ = std::max(changed_, gone.revision);
+  descriptions_.erase(departure.id);
+  changed_ = std::max(changed_, departure.revision);
 }
 
 void endpoint_feed::mark_changed(description& known, std::uint64_t revision)
@@ -88,34 +89,35 @@
   std::erase_if(descriptions_, [&](const auto& it) { return !known.contains(it.first); });
 }
 
-// Whether the gap between this daemon's view and a peer's can be closed by what the peer tells.
-bool endpoint_feed::may_follow(const endpoint_view& told, mono_time read_at) const
+// Whether the peer's view contains every change since this daemon's own view.
+bool endpoint_feed::can_catch_up(const endpoint_view& peer_view, mono_time read_at) const
 {
-  const bool closes_gap = told.removals_after <= revision_ && told.revision >= revision_;
+  const bool closes_gap = peer_view.removals_after <= revision_ && peer_view.revision >= revision_;
   return revision_ > 0 && closes_gap && read_at > read_at_ &&
-         read_at - read_at_ < options_.longest_gap;
+         read_at - read_at_ < options_.max_view_gap;
 }
 
-feed_step endpoint_feed::on_peer_view(const endpoint_view& told, mono_time asked_at)
+feed_action endpoint_feed::on_peer_view(const endpoint_view& peer_view, mono_time asked_at)
 {
-  // From the sending of the question, since the answer may have been long on its way.
-  const auto read_at = asked_at - told.age;
-  if (!may_follow(told, read_at)) {
-    return feed_step::nothing;
+  // Measured from when the request was sent, since the answer may have been delayed.
+  const auto read_at = asked_at - peer_view.age;
+  if (!can_catch_up(peer_view, read_at)) {
+    return feed_action::nothing;
   }
-  if (told.changed > revision_) {
-    return feed_step::fetch;
+  if (peer_view.changed > revision_) {
+    return feed_action::fetch;
   }
-  move_to(told.revision, read_at);
-  return feed_step::nothing;
+  advance_to(peer_view.revision, read_at);
+  return feed_action::nothing;
 }
 
-void endpoint_feed::on_fetched(const endpoint_view& told, std::uint64_t after, mono_time asked_at)
+void endpoint_feed::on_fetched(const endpoint_view& peer_view, std::uint64_t after,
+                               mono_time asked_at)
 {
-  const auto read_at = asked_at - told.age;
-  if (after <= revision_ && may_follow(told, read_at)) {
-    changed_ = std::max(changed_, told.changed);
-    move_to(told.revision, read_at);
+  const auto read_at = asked_at - peer_view.age;
+  if (after <= revision_ && can_catch_up(peer_view, read_at)) {
+    changed_ = std::max(changed_, peer_view.changed);
+    advance_to(peer_view.revision, read_at);
   }
 }
 
--- a/src/gateway/endpoint_health.cc
+++ b/src/gateway/endpoint_health.cc
@@ -5,38 +5,38 @@
 
 namespace wisteriaflow::gateway {
 
-bool endpoint_health::on_trouble(const endpoint_id& id, endpoint_trouble kind, mono_time now)
+bool endpoint_health::on_failure(const endpoint_id& id, endpoint_failure kind, mono_time now)
 {
   auto& it = known_[id];
-  it.trouble += kind == endpoint_trouble::failed ? 1.0 : options_.trouble_limit;
-  if (it.trouble < options_.trouble_limit) {
+  it.failure_score += kind == endpoint_failure::failed ? 1.0 : options_.ejection_threshold;
+  if (it.failure_score < options_.ejection_threshold) {
     return false;
   }
-  constexpr double most_doublings = 8;
-  const double doublings = std::min(it.trouble - options_.trouble_limit, most_doublings);
+  constexpr double max_doublings = 8;
+  const double doublings = std::min(it.failure_score - options_.ejection_threshold, max_doublings);
   const auto backoff = std::chrono::duration_cast<std::chrono::milliseconds>(
-      options_.trouble_backoff * std::exp2(doublings));
-  const bool was_in = now >= it.left_out_until;
-  it.left_out_until = now + std::min(backoff, options_.trouble_backoff_limit);
-  if (kind == endpoint_trouble::unreachable) {
-    it.unreachable_until = it.left_out_until;
+      options_.ejection_backoff * std::exp2(doublings));
+  const bool was_available = now >= it.ejected_until;
+  it.ejected_until = now + std::min(backoff, options_.max_ejection);
+  if (kind == endpoint_failure::unreachable) {
+    it.unreachable_until = it.ejected_until;
   }
-  return was_in;
+  return was_available;
 }
 
-// The time that it is left out runs on: what succeeds now may have been sent before the trouble.
+// Doesn't shorten an ejection: the successful request may have been sent before the failure.
 void endpoint_health::on_success(const endpoint_id& id)
 {
   const auto it = known_.find(id);
   if (it != known_.end()) {
-    it->second.trouble = std::max(0.0, it->second.trouble - options_.success_relief);
+    it->second.failure_score = std::max(0.0, it->second.failure_score - options_.success_credit);
   }
 }
 
-mono_time endpoint_health::left_out_until(const endpoint_id& id) const
+mono_time endpoint_health::ejected_until(const endpoint_id& id) const
 {
   const auto it = known_.find(id);
-  return it == known_.end() ? mono_time{} : it->second.left_out_until;
+  return it == known_.end() ? mono_time{} : it->second.ejected_until;
 }
 
 std::vector<endpoint_id> endpoint_health::unreachable(mono_time now) const
--- a/src/gateway/endpoint_pool.cc
+++ b/src/gateway/endpoint_pool.cc
@@ -14,8 +14,8 @@
 } // namespace
 
 endpoint_pool::endpoint_pool(endpoint_pool_options options)
-    : options_(std::move(options)), departures_(options_.departure_told), terms_(options_.self),
-      peers_(options_.work_valid), health_(options_.health),
+    : options_(std::move(options)), departures_(options_.departure_gossip_duration),
+      terms_(options_.self), peers_(options_.peer_work_ttl), health_(options_.health),
       meter_({.initial_speed = options_.initial_prefill_rate}),
       table_({.initial_prefill_rate = options_.initial_prefill_rate}), prefixes_({}),
       random_(options_.seed)
@@ -27,7 +27,7 @@
 void endpoint_pool::replace_all(std::span<const endpoint_record> listed, std::uint64_t revision,
                                 mono_time now)
 {
-  listed_ = true;
+  has_list_ = true;
   std::vector<endpoint_departure> missing;
   for (const auto& [id, known] : records_) {
     const auto has_id = [&id = id](const endpoint_record& r) { return r.id == id; };
@@ -50,18 +50,18 @@
     return;
   }
   if (known != records_.end() && is_restart(process_of(known->second), process_of(changed))) {
-    // Nothing that was believed or counted of the process before holds for this one.
+    // Estimates and counts of the previous process don't apply to the new one.
     peers_.forget_endpoint(changed.id);
-    terms_.forget(changed.id);
+    terms_.remove(changed.id);
     erase(changed.id);
   }
   held_removals_.erase(changed.id);
   auto record = changed;
-  record.leaving = record.leaving || departures_.covers(record.id, record.revision) ||
+  record.leaving = record.leaving || departures_.had_departed(record.id, record.revision) ||
                    terms_.is_leaving(process_of(record));
   store(record);
   if (changed.leaving) {
-    departures_.note({.id = changed.id, .revision = changed.revision}, now);
+    departures_.record({.id = changed.id, .revision = changed.revision}, now);
   }
 }
 
@@ -69,7 +69,7 @@
 {
   const auto known = table_.find(record.id);
   if (known && table_.at(*known).leaving && !record.leaving) {
-    table_.remove(record.id); // the table does not take a leaving endpoint back
+    table_.remove(record.id); // the table cannot undo on_leaving()
   }
   const auto slot = table_.upsert({.id = record.id,
                                    .address = to_string(record.address),
@@ -79,37 +79,37 @@
     table_.on_leaving(slot);
   }
   records_[record.id] = record;
-  note_usable(record);
+  update_usable(record);
 }
 
-void endpoint_pool::note_usable(const endpoint_record& record)
+void endpoint_pool::update_usable(const endpoint_record& record)
 {
-  if (may_be_used_ && !may_be_used_(record)) {
-    not_usable_.insert(record.id);
+  if (is_usable_ && !is_usable_(record)) {
+    unusable_.insert(record.id);
   } else {
-    not_usable_.erase(record.id);
+    unusable_.erase(record.id);
   }
 }
 
-void endpoint_pool::check_usable()
+void endpoint_pool::reapply_usable_filter()
 {
   for (const auto& [id, r] : records_) {
-    note_usable(r);
+    update_usable(r);
   }
 }
 
-void endpoint_pool::remove(const endpoint_departure& gone, mono_time now)
+void endpoint_pool::remove(const endpoint_departure& departure, mono_time now)
 {
-  const auto it = records_.find(gone.id);
-  if (it == records_.end() || it->second.revision > gone.revision) {
+  const auto it = records_.find(departure.id);
+  if (it == records_.end() || it->second.revision > departure.revision) {
     return;
   }
-  if (now < hold_until_ && !it->second.leaving) {
-    held_removals_[gone.id] = gone.revision;
+  if (now < removals_held_until_ && !it->second.leaving) {
+    held_removals_[departure.id] = departure.revision;
     return;
   }
-  departures_.note(gone, now);
-  erase(gone.id);
+  departures_.record(departure, now);
+  erase(departure.id);
 }
 
 void endpoint_pool::erase(const endpoint_id& id)
@@ -120,18 +120,18 @@
   table_.remove(id);
   records_.erase(id);
   own_.erase(id);
-  not_usable_.erase(id);
+  unusable_.erase(id);
   health_.forget(id);
   held_removals_.erase(id);
 }
 
-bool endpoint_pool::on_departure(const endpoint_departure& heard, mono_time now)
+bool endpoint_pool::on_departure(const endpoint_departure& departure, mono_time now)
 {
-  const auto it = records_.find(heard.id);
-  if (it != records_.end() && it->second.revision > heard.revision) {
+  const auto it = records_.find(departure.id);
+  if (it != records_.end() && it->second.revision > departure.revision) {
     return false;
   }
-  departures_.note(heard, now);
+  departures_.record(departure, now);
   if (it == records_.end() || it->second.leaving) {
     return false;
   }
@@ -142,20 +142,20 @@
 
 void endpoint_pool::tick(mono_time now)
 {
-  if (now >= hold_until_) {
+  if (now >= removals_held_until_) {
     for (const auto& [id, revision] : std::exchange(held_removals_, {})) {
       remove({.id = id, .revision = revision}, now);
     }
   }
   // A daemon that follows its peers' views never sees the removal of an entry, only the departure.
-  // Its last requests have ended by then.
-  for (const auto& id : departures_.over(now)) {
+  // The endpoint's last requests have ended by now.
+  for (const auto& id : departures_.completed(now)) {
     const auto it = records_.find(id);
     if (it != records_.end() && it->second.leaving) {
       erase(id);
     }
   }
-  departures_.forget_old(now);
+  departures_.remove_expired(now);
   terms_.tick(now);
 }
 
@@ -165,23 +165,23 @@
   return it == records_.end() || !is_restart(process, process_of(it->second));
 }
 
-terms_step endpoint_pool::on_answer(const answered_terms& said, mono_time now)
+terms_action endpoint_pool::on_answer(const answer_terms& answer, mono_time now)
 {
-  if (!may_be_present(said.process)) {
-    return terms_step::nothing;
+  if (!may_be_present(answer.process)) {
+    return terms_action::nothing;
   }
-  const auto step = terms_.on_answer(said, now);
-  apply_leaving(said.process);
+  const auto step = terms_.on_answer(answer, now);
+  apply_leaving(answer.process);
   return step;
 }
 
-terms_step endpoint_pool::on_peer_terms(const told_terms& told, mono_time now)
+terms_action endpoint_pool::on_peer_terms(const peer_terms& received, mono_time now)
 {
-  if (!may_be_present(told.process)) {
-    return terms_step::nothing;
+  if (!may_be_present(received.process)) {
+    return terms_action::nothing;
   }
-  const auto step = terms_.on_told(told, now);
-  apply_leaving(told.process);
+  const auto step = terms_.on_peer_terms(received, now);
+  apply_leaving(received.process);
   return step;
 }
 
@@ -194,21 +194,21 @@
   }
 }
 
-std::vector<told_terms> endpoint_pool::terms_to_tell(std::size_t most, mono_time now)
+std::vector<peer_terms> endpoint_pool::terms_to_gossip(std::size_t most, mono_time now)
 {
-  // Of others everybody knows by the store that they leave, or that they are gone.
+  // Peers know from the store that the other endpoints are leaving or were removed.
   const auto is_in_use = [this](const endpoint_id& id) {
     const auto it = records_.find(id);
-    return it != records_.end() && !departures_.covers(id, it->second.revision);
+    return it != records_.end() && !departures_.had_departed(id, it->second.revision);
   };
-  return terms_.to_tell(most, is_in_use, now);
+  return terms_.to_gossip(most, is_in_use, now);
 }
 
 std::vector<const endpoint_record*> endpoint_pool::serving(std::string_view service) const
 {
   std::vector<const endpoint_record*> out;
   for (const auto& [id, r] : records_) {
-    if (r.service == service && !r.leaving && !not_usable_.contains(id)) {
+    if (r.service == service && !r.leaving && !unusable_.contains(id)) {
       out.push_back(&r);
     }
   }
@@ -217,7 +217,7 @@
 
 std::vector<endpoint_departure> endpoint_pool::departures(mono_time now) const
 {
-  return departures_.to_tell(now);
+  return departures_.to_gossip(now);
 }
 
 void endpoint_pool::end_wait(endpoint_work& own, const routing::sent_work& work)
@@ -233,7 +233,7 @@
   return it != records_.end() && is_restart(chosen.process(), process_of(it->second));
 }
 
-bool endpoint_pool::is_staying(const endpoint_process& process) const
+bool endpoint_pool::is_active(const endpoint_process& process) const
 {
   const auto it = records_.find(process.id);
   return it != records_.end() && !it->second.leaving &&
@@ -269,9 +269,9 @@
   table_.on_finished(work, static_cast<int>(output_tokens), now);
 }
 
-bool endpoint_pool::on_trouble(const endpoint_id& id, endpoint_trouble kind, mono_time now)
+bool endpoint_pool::on_failure(const endpoint_id& id, endpoint_failure kind, mono_time now)
 {
-  return records_.contains(id) && health_.on_trouble(id, kind, now);
+  return records_.contains(id) && health_.on_failure(id, kind, now);
 }
 
 void endpoint_pool::on_success(const endpoint_id& id)
@@ -290,7 +290,7 @@
   return out;
 }
 
-endpoint_work_map endpoint_pool::work_to_tell(mono_time now) const
+endpoint_work_map endpoint_pool::work_to_gossip(mono_time now) const
 {
   auto out = own_work();
   for (const auto& id : health_.unreachable(now)) {
@@ -299,9 +299,9 @@
   return out;
 }
 
-void endpoint_pool::on_peer_work(const daemon_id& peer, endpoint_work_map work, mono_time told_at)
+void endpoint_pool::on_peer_work(const daemon_id& peer, endpoint_work_map work, mono_time sent_at)
 {
-  peers_.on_work(peer, std::move(work), told_at);
+  peers_.on_work(peer, std::move(work), sent_at);
 }
 
 endpoint_work endpoint_pool::own_work_at(const endpoint_id& id) const
@@ -326,9 +326,9 @@
   }
 }
 
-void endpoint_pool::on_peer_prefill(const daemon_id& peer, prefill_demand demand, mono_time told_at)
+void endpoint_pool::on_peer_prefill(const daemon_id& peer, prefill_demand demand, mono_time sent_at)
 {
-  peers_.on_prefill(peer, std::move(demand), told_at);
+  peers_.on_prefill(peer, std::move(demand), sent_at);
 }
 
 double endpoint_pool::busy_endpoints(std::string_view service, mono_time now)
--- a/src/gateway/endpoint_pool_choice.cc
+++ b/src/gateway/endpoint_pool_choice.cc
@@ -1,4 +1,4 @@
-// The choice of an endpoint for one attempt; the rest of the pool is in endpoint_pool.cc.
+// endpoint_pool's choice of an endpoint for one attempt; see endpoint_pool.cc for the rest.
 
 #include <algorithm>
 #include <cmath>
@@ -12,14 +12,14 @@
 namespace wisteriaflow::gateway {
 namespace {
 
-// Tokens of a prompt beyond its shared parts.
+// Tokens of a prompt after its shared parts.
 int own_tokens(const token_size& size, const prompt_blocks& prompt)
 {
   const auto shared = static_cast<int>(prompt.shared) * tokens_per_block;
   return std::max(0, static_cast<int>(size.prompt) - shared);
 }
 
-// Whether the endpoint is one of those that the call may go to by their version.
+// Whether the call may be sent to this endpoint according to its software version.
 bool is_in(const version_selection& lane, const endpoint_record& r)
 {
   switch (lane.endpoints) {
@@ -36,62 +36,64 @@
 
 } // namespace
 
-mono_time endpoint_pool::left_out_until(routing::endpoint_slot slot) const
+mono_time endpoint_pool::ejected_until(routing::endpoint_slot slot) const
 {
-  return health_.left_out_until(table_.at(slot).description.id);
+  return health_.ejected_until(table_.at(slot).description.id);
 }
 
-bool endpoint_pool::is_left_out(routing::endpoint_slot slot, mono_time now) const
+bool endpoint_pool::is_ejected(routing::endpoint_slot slot, mono_time now) const
 {
   const auto& id = table_.at(slot).description.id;
-  return now < left_out_until(slot) || peers_.total_at(id).unreachable >= options_.peers_believed;
+  return now < ejected_until(slot) ||
+         peers_.total_at(id).unreachable >= options_.unreachable_quorum;
 }
 
-endpoint_pool::candidates endpoint_pool::candidates_for(const endpoint_wish& wish,
+endpoint_pool::candidates endpoint_pool::candidates_for(const selection_criteria& criteria,
                                                         mono_time now) const
 {
   candidates out;
-  for (const auto* r : serving(wish.service)) {
-    if (!is_in(wish.lane, *r)) {
+  for (const auto* r : serving(criteria.service)) {
+    if (!is_in(criteria.lane, *r)) {
       continue;
     }
-    const auto& excluded = wish.excluded;
+    const auto& excluded = criteria.excluded;
     if (std::find(excluded.begin(), excluded.end(), r->id) != excluded.end()) {
       continue;
     }
-    // Whatever else speaks for it: what an endpoint says of itself is binding.
+    // The terms that an endpoint states are binding, whatever else favours it.
     const auto open_at = terms_.open_at(r->id, now);
     if (open_at > now) {
       out.opens_at = std::min(out.opens_at.value_or(open_at), open_at);
       continue;
     }
     const auto slot = *table_.find(r->id);
-    (is_left_out(slot, now) ? out.left_out : out.open).push_back(slot);
+    (is_ejected(slot, now) ? out.ejected : out.open).push_back(slot);
   }
-  // With most of them in trouble the trouble is not theirs, and the few others would be overrun.
-  if (out.open.size() < out.left_out.size()) {
-    out.open.insert(out.open.end(), out.left_out.begin(), out.left_out.end());
+  // If most endpoints are ejected, the cause is probably not in the endpoints, and the few others
+  // would be overloaded.
+  if (out.open.size() < out.ejected.size()) {
+    out.open.insert(out.open.end(), out.ejected.begin(), out.ejected.end());
     std::sort(out.open.begin(), out.open.end());
-    out.left_out.clear();
+    out.ejected.clear();
   }
-  if (wish.lane.endpoints == version_selection::subset::trial) {
-    keep_on_trial(wish, out.open);
+  if (criteria.lane.endpoints == version_selection::subset::trial) {
+    limit_trial_endpoints(criteria, out.open);
   }
   return out;
 }
 
-void endpoint_pool::keep_on_trial(const endpoint_wish& wish,
-                                  std::vector<routing::endpoint_slot>& open) const
+void endpoint_pool::limit_trial_endpoints(const selection_criteria& criteria,
+                                          std::vector<routing::endpoint_slot>& open) const
 {
   const auto score = [&](routing::endpoint_slot slot) {
-    return rendezvous_score(wish.lane.trial_seed, table_.at(slot).description.id.value());
+    return rendezvous_score(criteria.lane.trial_seed, table_.at(slot).description.id.value());
   };
-  const auto all = serving(wish.service);
+  const auto all = serving(criteria.service);
   const auto present = std::count_if(all.begin(), all.end(), [&](const endpoint_record* r) {
-    return r->version != wish.lane.target;
+    return r->version != criteria.lane.target;
   });
-  const auto wanted =
-      static_cast<std::size_t>(std::ceil(wish.lane.target_fraction * static_cast<double>(present)));
+  const auto wanted = static_cast<std::size_t>(
+      std::ceil(criteria.lane.target_fraction * static_cast<double>(present)));
   const auto number = std::min(open.size(), std::max<std::size_t>(1, wanted));
   std::sort(open.begin(), open.end(), [&](auto a, auto b) { return score(a) > score(b); });
   open.resize(number);
@@ -99,14 +101,14 @@
 }
 
 std::vector<routing::endpoint_slot>
-endpoint_pool::homes_of(const prompt_blocks& prompt, const token_size& size,
-                        const std::vector<routing::endpoint_slot>& open, mono_time now)
+endpoint_pool::affinity_endpoints(const prompt_blocks& prompt, const token_size& size,
+                                  const std::vector<routing::endpoint_slot>& open, mono_time now)
 {
   if (!prompt.shared_key) {
     return {};
   }
   const double busy = own_tokens(size, prompt) / options_.initial_prefill_rate;
-  const auto wanted = spread_.homes_of(*prompt.shared_key, busy, live_daemons(), now);
+  const auto wanted = prefix_traffic_.affinity_count(*prompt.shared_key, busy, live_daemons(), now);
   std::vector<std::pair<std::uint64_t, routing::endpoint_slot>> scores;
   scores.reserve(open.size());
   for (const auto slot : open) {
@@ -122,62 +124,64 @@
   return out;
 }
 
-routing::no_endpoint endpoint_pool::none_open(const endpoint_wish& wish, mono_time opens_at)
+routing::no_endpoint endpoint_pool::reject_until(const selection_criteria& criteria,
+                                                 mono_time opens_at)
 {
-  if (const auto& size = wish.size) {
-    // It is demand all the same: a fleet that turns calls away is short of endpoints.
-    meter_.on_sent(wish.service, own_tokens(*size, split_prompt(wish.prompt)));
+  if (const auto& size = criteria.size) {
+    // Refused calls count as demand too: a fleet that refuses calls is short of endpoints.
+    meter_.on_sent(criteria.service, own_tokens(*size, split_prompt(criteria.prompt)));
   }
   return {.reason = routing::no_endpoint_reason::none_open, .retry_at = opens_at};
 }
 
-pool_choice endpoint_pool::choose(const endpoint_wish& wish, mono_time now)
+pool_choice endpoint_pool::choose(const selection_criteria& criteria, mono_time now)
 {
-  const auto candidates = candidates_for(wish, now);
+  const auto candidates = candidates_for(criteria, now);
   if (candidates.open.empty() && candidates.opens_at) {
-    return none_open(wish, *candidates.opens_at);
+    return reject_until(criteria, *candidates.opens_at);
   }
-  if (!wish.size && wish.prompt.empty()) {
-    return choose_for_plain(wish, candidates.open, now);
+  if (!criteria.size && criteria.prompt.empty()) {
+    return choose_for_plain(criteria, candidates.open, now);
   }
-  const auto prompt = split_prompt(wish.prompt);
+  const auto prompt = split_prompt(criteria.prompt);
   const auto& blocks = prompt.hashes;
-  const auto size = wish.size.value_or(token_size{});
-  const auto homes = homes_of(prompt, size, candidates.open, now);
+  const auto size = criteria.size.value_or(token_size{});
+  const auto affinity = affinity_endpoints(prompt, size, candidates.open, now);
   const routing::request_view request{.blocks = blocks,
                                       .prompt_tokens = static_cast<int>(size.prompt),
                                       .expected_output_tokens = static_cast<int>(size.output),
-                                      .target = wish.target,
-                                      .deadline = wish.deadline,
-                                      .homes = homes,
+                                      .target = criteria.target,
+                                      .deadline = criteria.deadline,
+                                      .homes = affinity,
                                       .home_blocks = prompt.shared};
   const routing::routing_view view{.endpoints = table_, .prefixes = prefixes_, .options = routing_};
-  const auto made = routing::choose_endpoint(view, request, candidates.open, now, random_);
-  if (const auto* chosen = std::get_if<routing::chosen_endpoint>(&made)) {
+  const auto choice = routing::choose_endpoint(view, request, candidates.open, now, random_);
+  if (const auto* chosen = std::get_if<routing::chosen_endpoint>(&choice)) {
     const int prefill = static_cast<int>(size.prompt) - chosen->parts.cached_tokens;
-    auto out = take(chosen->slot, prefill, blocks, wish, now);
+    auto out = start_attempt(chosen->slot, prefill, blocks, criteria, now);
     out.prefix_source = prefix_source_for(chosen->slot, prompt, candidates.open, now);
     return out;
   }
-  const auto& none = std::get<routing::no_endpoint>(made);
+  const auto& none = std::get<routing::no_endpoint>(choice);
   if (candidates.open.empty()) {
     return none;
   }
-  if (none.only_queued && wish.may_be_refused) {
-    // It is demand all the same: a fleet that turns calls away is short of endpoints.
-    meter_.on_sent(wish.service, own_tokens(size, prompt));
+  if (none.only_queued && criteria.may_be_refused) {
+    // Refused calls count as demand too: a fleet that refuses calls is short of endpoints.
+    meter_.on_sent(criteria.service, own_tokens(size, prompt));
     return none;
   }
-  // All look too slow for its size, or it may have run: the least bad is tried.
+  // Every endpoint seems too slow for the request's size, or the call may have run already: use the
+  // endpoint with the earliest end of ejection and, among equals, the lowest load.
   const auto slot =
       *std::min_element(candidates.open.begin(), candidates.open.end(), [this](auto a, auto b) {
-        return std::pair(left_out_until(a), table_.at(a).crowding()) <
-               std::pair(left_out_until(b), table_.at(b).crowding());
+        return std::pair(ejected_until(a), table_.at(a).crowding()) <
+               std::pair(ejected_until(b), table_.at(b).crowding());
       });
-  return take(slot, static_cast<int>(size.prompt), blocks, wish, now);
+  return start_attempt(slot, static_cast<int>(size.prompt), blocks, criteria, now);
 }
 
-pool_choice endpoint_pool::choose_for_plain(const endpoint_wish& wish,
+pool_choice endpoint_pool::choose_for_plain(const selection_criteria& criteria,
                                             const std::vector<routing::endpoint_slot>& open,
                                             mono_time now)
 {
@@ -189,15 +193,15 @@
     const auto calls = own == own_.end() ? 0 : own->second.waiting + own->second.running;
     candidates.push_back({.own_calls = calls, .places = records_.at(id).places});
   }
-  const auto best = choose_plain(candidates, random_);
+  const auto best = choose_least_loaded(candidates, random_);
   if (!best) {
     return routing::no_endpoint{};
   }
-  return take(open[*best], 0, {}, wish, now);
+  return start_attempt(open[*best], 0, {}, criteria, now);
 }
 
-// Endpoints that leave are no source, though they still hold much: one that is gone before it has
-// answered holds the prompt up for seconds.
+// Leaving endpoints are no source, although they still have much in their caches: if one terminates
+// before it has answered, the prompt is delayed for seconds.
 std::optional<http::socket_address>
 endpoint_pool::prefix_source_for(routing::endpoint_slot slot, const prompt_blocks& prompt,
                                  const std::vector<routing::endpoint_slot>& open,
@@ -211,23 +215,23 @@
   std::vector<prefix_holder> holders;
   for (const auto other : open) {
     if (other != slot) {
-      holders.push_back({.id = table_.at(other).description.id, .believed = matched[other]});
+      holders.push_back({.id = table_.at(other).description.id, .blocks_sent = matched[other]});
     }
   }
   const auto best = likeliest_holder(prompt, holders);
   return best ? std::optional(records_.at(holders[*best].id).address) : std::nullopt;
 }
 
-// Counts an attempt at the chosen endpoint.
-pooled_endpoint endpoint_pool::take(routing::endpoint_slot slot, int prefill,
-                                    std::span<const std::uint64_t> blocks,
-                                    const endpoint_wish& wish, mono_time now)
+// Counts a new attempt at the chosen endpoint.
+pooled_endpoint endpoint_pool::start_attempt(routing::endpoint_slot slot, int prefill,
+                                             std::span<const std::uint64_t> blocks,
+                                             const selection_criteria& criteria, mono_time now)
 {
   const auto& id = table_.at(slot).description.id;
   terms_.on_sent(id, now);
   prefixes_.on_sent(slot, blocks, now);
-  if (wish.size) {
-    meter_.on_sent(wish.service, prefill);
+  if (criteria.size) {
+    meter_.on_sent(criteria.service, prefill);
   }
   auto& own = own_[id];
   ++own.waiting;
--- a/src/gateway/endpoint_statement.cc
+++ b/src/gateway/endpoint_statement.cc
@@ -5,24 +5,24 @@
 namespace wisteriaflow::gateway {
 namespace {
 
-// No endpoint serves so many requests a second; one that names more has made a mistake.
-constexpr double highest_rate = 100'000;
-// One that asks for more would be out of use for as long as instances live.
+// No endpoint serves more requests per second; a higher rate is a mistake.
+constexpr double max_rate = 100'000;
+// A longer pause would put the endpoint out of use for the lifetime of an instance.
 constexpr std::chrono::duration<double> longest_pause = std::chrono::hours(1);
 
-bool is_credible_pause(std::chrono::duration<double> pause)
+bool is_valid_pause(std::chrono::duration<double> pause)
 {
   return pause.count() >= 0 && pause <= longest_pause;
 }
 
 } // namespace
 
-bool is_credible_rate(double rate)
+bool is_valid_rate(double rate)
 {
-  return rate >= 0 && rate <= highest_rate; // false for what is not a number
+  return rate >= 0 && rate <= max_rate; // false for NaN
 }
 
-endpoint_terms believed(const endpoint_statement& statement)
+endpoint_terms validated_terms(const endpoint_statement& statement)
 {
   endpoint_terms out;
   if (const auto& leaving = statement.leaving) {
@@ -32,16 +32,16 @@
     }
   }
   if (const auto& rate = statement.request_rate) {
-    if (rate->value && is_credible_rate(*rate->value)) {
+    if (rate->value && is_valid_rate(*rate->value)) {
       out.request_rate = rate->value;
     } else {
       out.rejected.push_back("request rate: " + rate->text);
     }
   }
   if (const auto& pause = statement.pause) {
-    const std::chrono::duration<double> told(pause->value.value_or(-1));
-    if (is_credible_pause(told)) {
-      out.pause = std::chrono::ceil<std::chrono::milliseconds>(told);
+    const std::chrono::duration<double> duration(pause->value.value_or(-1));
+    if (is_valid_pause(duration)) {
+      out.pause = std::chrono::ceil<std::chrono::milliseconds>(duration);
     } else {
       out.rejected.push_back("pause: " + pause->text);
     }
--- a/src/gateway/endpoint_work.cc
+++ b/src/gateway/endpoint_work.cc
@@ -7,7 +7,7 @@
 
 namespace wisteriaflow::gateway {
 
-endpoint_work_map most_of(endpoint_work_map work, std::size_t most)
+endpoint_work_map top_endpoints(endpoint_work_map work, std::size_t most)
 {
   if (work.size() <= most) {
     return work;
--- a/src/gateway/event_splitter.cc
+++ b/src/gateway/event_splitter.cc
@@ -20,7 +20,7 @@
   return std::nullopt;
 }
 
-// Offset behind the first empty line of `text` at or after `from`; npos if there is none.
+// Offset after the first empty line of `text` at or after `from`; npos if there is none.
 std::size_t end_of_event(std::string_view text, std::size_t from)
 {
   const auto lf = text.find("\n\n", from);
@@ -46,7 +46,7 @@
     begin = end;
   }
   pending_.erase(0, begin);
-  // The last two bytes may be the beginning of an empty line.
+  // The last two bytes may be the start of an empty line.
   searched_ = pending_.size() < 2 ? 0 : pending_.size() - 2;
   return out;
 }
--- a/src/gateway/pace.cc
+++ b/src/gateway/pace.cc
@@ -4,23 +4,23 @@
 
 namespace wisteriaflow::gateway {
 
-std::optional<bool> pace_limit::is_slow(double seconds) const
+std::optional<bool> slow_call_detector::is_slow(double seconds) const
 {
-  if (noted_ < options_.samples) {
+  if (sample_count_ < options_.min_samples) {
     return std::nullopt;
   }
-  return seconds > limit_;
+  return seconds > threshold_;
 }
 
-void pace_limit::note(double seconds)
+void slow_call_detector::add_sample(double seconds)
 {
-  ++noted_;
-  if (noted_ <= options_.samples) {
-    limit_ = std::max(limit_, seconds); // the largest of a few is near the quantile
+  ++sample_count_;
+  if (sample_count_ <= options_.min_samples) {
+    threshold_ = std::max(threshold_, seconds); // the largest of a few is near the quantile
     return;
   }
-  const bool above = seconds > limit_;
-  limit_ *= 1 + options_.step * (above ? options_.quantile : options_.quantile - 1);
+  const bool above = seconds > threshold_;
+  threshold_ *= 1 + options_.step * (above ? options_.quantile : options_.quantile - 1);
 }
 
 } // namespace wisteriaflow::gateway
--- a/src/gateway/peer_report.cc
+++ b/src/gateway/peer_report.cc
@@ -264,7 +264,7 @@
   }
   // Peers of an earlier version send no crashes.
   if (const auto* crashes = from.as_object().if_contains("crashes")) {
-    out.crashes = decode_crash_news(*crashes);
+    out.crashes = decode_crash_report(*crashes);
     out.crash_digest = number_at(from, "crash_digest");
   }
   // Peers of an earlier version send no roll-outs.
@@ -330,7 +330,7 @@
                            {"rollouts", encode_rollouts(report.rollouts)},
                            {"rollouts_known_up_to", report.rollouts_revision},
                            {"rollout_rows", encode_rollout_rows(report.rollout_rows)},
-                           {"crashes", encode_crash_news(report.crashes)},
+                           {"crashes", encode_crash_report(report.crashes)},
                            {"crash_digest", report.crash_digest}};
   return json::serialize(out);
 }
--- a/src/gateway/plain_choice.cc
+++ b/src/gateway/plain_choice.cc
@@ -4,21 +4,21 @@
 
 namespace wisteriaflow::gateway {
 
-std::optional<std::size_t> choose_plain(std::span<const plain_candidate> candidates,
-                                        std::mt19937_64& rng)
+std::optional<std::size_t> choose_least_loaded(std::span<const plain_candidate> candidates,
+                                               std::mt19937_64& rng)
 {
   const auto load = [](const plain_candidate& c) {
     return static_cast<double>(c.own_calls) / std::max(1U, c.places);
   };
   std::optional<std::size_t> best;
-  std::uint64_t equals = 0;
+  std::uint64_t tie_count = 0;
   for (std::size_t i = 0; i < candidates.size(); ++i) {
-    const double here = load(candidates[i]);
-    if (!best || here < load(candidates[*best])) {
+    const double candidate_load = load(candidates[i]);
+    if (!best || candidate_load < load(candidates[*best])) {
       best = i;
-      equals = 1;
-    } else if (here == load(candidates[*best]) && rng() % ++equals == 0) {
-      best = i; // each equal is kept with the same probability
+      tie_count = 1;
+    } else if (candidate_load == load(candidates[*best]) && rng() % ++tie_count == 0) {
+      best = i; // reservoir sampling: each equal is chosen with the same probability
     }
   }
   return best;
--- a/src/gateway/rate_shares.cc
+++ b/src/gateway/rate_shares.cc
@@ -9,20 +9,20 @@
 namespace wisteriaflow::gateway {
 namespace {
 
-// Holders of a share: several, so that the death of one leaves the endpoint in use, and few, since
-// each may have a request saved up.
-constexpr double most_holders = 4;
-// A share is worth this at least: with less its holder would come to use it too seldom.
-constexpr double least_share = 0.25; // requests/s
-// Calls come unevenly: what a holder could not use for so long it may send later.
+// Number of daemons that hold a share: several, so that the endpoint stays in use when one dies,
+// and few, since each may have saved up a request.
+constexpr double max_holders = 4;
+// Smallest share: with less, its holder would use the endpoint too seldom.
+constexpr double min_share = 0.25; // requests/s
+// Calls arrive unevenly: a holder may send later what it could not use for this long.
 constexpr std::chrono::milliseconds share_burst{250};
-// An endpoint that takes nothing is asked this often all the same, or nobody would learn that it
-// takes requests again.
-constexpr double least_rate = 1.0 / 60; // requests/s
+// An endpoint that accepts no requests still gets one at this rate, since otherwise no daemon would
+// learn that it accepts requests again.
+constexpr double min_rate = 1.0 / 60; // requests/s
 
 std::size_t holders_of(double rate)
 {
-  return static_cast<std::size_t>(std::clamp(rate / least_share, 1.0, most_holders));
+  return static_cast<std::size_t>(std::clamp(rate / min_share, 1.0, max_holders));
 }
 
 mono_time::duration interval_of(double rate)
@@ -32,17 +32,17 @@
 
 } // namespace
 
-void rate_shares::divide(const endpoint_id& id, entry& it, mono_time now)
+void rate_shares::assign_share(const endpoint_id& id, entry& it, mono_time now)
 {
   const auto rank = rendezvous_rank(hash64_of(id.value()), self_, fleet_.candidates);
   const auto holders = std::min(holders_of(it.rate), fleet_.candidates.size() + 1);
-  const bool was_held = std::exchange(it.held, !fleet_.leaving && rank < holders);
+  const bool had_share = std::exchange(it.has_share, !fleet_.leaving && rank < holders);
   const double share = it.rate * fleet_.live_fraction() / static_cast<double>(holders);
-  if (!it.held || was_held) {
+  if (!it.has_share || had_share) {
     it.share.set_rate(share, now);
     return;
   }
-  // The holders begin one after the other, at the rate's own distance.
+  // Staggers the first requests of the holders by the interval of the total rate.
   it.share = admission::rate_limit(share, share_burst);
   it.share.take(static_cast<double>(rank + 1) / static_cast<double>(holders), now);
 }
@@ -54,17 +54,17 @@
   }
   fleet_ = std::move(fleet);
   for (auto& [id, it] : entries_) {
-    divide(id, it, now);
+    assign_share(id, it, now);
   }
 }
 
 void rate_shares::set(const endpoint_id& id, double rate, mono_time now)
 {
-  const double kept = std::max(rate, least_rate);
+  const double effective = std::max(rate, min_rate);
   auto& it = entries_[id];
-  if (it.rate != kept) {
-    it.rate = kept;
-    divide(id, it, now);
+  if (it.rate != effective) {
+    it.rate = effective;
+    assign_share(id, it, now);
   }
 }
 
@@ -74,7 +74,7 @@
   if (it == entries_.end()) {
     return now;
   }
-  return it->second.held ? it->second.share.open_at(now) : now + interval_of(it->second.rate);
+  return it->second.has_share ? it->second.share.open_at(now) : now + interval_of(it->second.rate);
 }
 
 void rate_shares::take(const endpoint_id& id, mono_time now)
--- a/src/gateway/request_content.cc
+++ b/src/gateway/request_content.cc
@@ -29,7 +29,7 @@
   return ec == std::errc{} && end == last ? std::optional(value) : std::nullopt;
 }
 
-// Appends a part so that no two lists of parts give the same text.
+// Appends a part with its length, so that different lists of parts give different texts.
 void append(std::string& text, std::string_view part)
 {
   text += std::to_string(part.size());
@@ -48,7 +48,7 @@
         std::string_view(request.method), std::string_view(request.target)}) {
     append(text, part);
   }
-  // The body may be megabytes: it is hashed where it is.
+  // The body may be megabytes, so that it is hashed in place instead of being copied.
   append(text, to_string(content_id{.hash = hash128_of(request.body)}));
   return {.hash = hash128_of(text)};
 }
--- a/src/gateway/retry_budget.cc
+++ b/src/gateway/retry_budget.cc
@@ -3,17 +3,17 @@
 namespace wisteriaflow::gateway {
 namespace {
 
-constexpr int slices_of_window = 20;
+constexpr int slices_per_window = 20;
 
 } // namespace
 
 retry_budget::slice& retry_budget::current(const std::string& service, mono_time now)
 {
-  const auto width = options_.window / slices_of_window;
+  const auto width = options_.window / slices_per_window;
   const auto number = static_cast<std::int64_t>(now.time_since_epoch() / width);
   auto& slices = services_[service];
-  // One slice more than the window, since its first one is only partly outside.
-  while (!slices.empty() && slices.front().number < number - slices_of_window) {
+  // Keeps one slice more than the window has, since the oldest one is only partly outside of it.
+  while (!slices.empty() && slices.front().number < number - slices_per_window) {
     slices.pop_front();
   }
   if (slices.empty() || slices.back().number != number) {
@@ -34,13 +34,13 @@
   double repeats = 1;
   for (const auto& s : services_[service]) {
     calls += s.calls;
-    repeats += s.repeats;
+    repeats += s.retries;
   }
-  const double fleet_slack = options_.slack / static_cast<double>(daemons_);
-  if (repeats > options_.used_part * (options_.ratio * calls + fleet_slack)) {
+  const double fleet_slack = options_.fleet_allowance / static_cast<double>(daemons_);
+  if (repeats > options_.safety_factor * (options_.retry_ratio * calls + fleet_slack)) {
     return false;
   }
-  ++last.repeats;
+  ++last.retries;
   return true;
 }
 
--- a/src/gateway/return_time.cc
+++ b/src/gateway/return_time.cc
@@ -8,26 +8,27 @@
 
 using std::chrono::milliseconds;
 
-// Where it is not known when there will be room: the time in which all daemons notice that an
-// endpoint is in trouble.
-constexpr milliseconds unknown_wait{250};
-// A wait shorter than the way to the caller and back spreads nothing.
+// Wait if it is unknown when capacity becomes available: the time in which all daemons detect that
+// an endpoint is failing.
+constexpr milliseconds default_wait{250};
+// A wait shorter than the round trip to the caller doesn't spread the calls.
 constexpr milliseconds shortest_wait{50};
-// Each rank returns within this part of the wait, after the ranks before it: as long as the wait
-// for the first two, so that the queue has drained as far again when the third comes.
+// Each rank returns within this fraction of the wait, after the ranks before it. The first two
+// ranks together take as long as the wait, so that the queue has drained by the same amount again
+// when the third rank returns.
 constexpr double rank_width = 0.5;
-constexpr int last_rank = 3; // those beyond return with it
+constexpr int last_rank = 3; // larger ranks are treated like this one
 
 } // namespace
 
-mono_time return_time(const refused_call& call, std::mt19937_64& rng)
+mono_time retry_time(const refused_call& call, std::mt19937_64& rng)
 {
-  const auto known = call.open_at.value_or(call.now + unknown_wait) - call.now;
-  const auto wait = std::max<mono_time::duration>(known, shortest_wait);
+  const auto until_open = call.open_at.value_or(call.now + default_wait) - call.now;
+  const auto wait = std::max<mono_time::duration>(until_open, shortest_wait);
   const int rank = std::clamp(call.rank, 0, last_rank);
   const double within_rank = std::uniform_real_distribution<double>(0, 1)(rng);
-  const std::chrono::duration<double> later = wait * (rank_width * (rank + within_rank));
-  return call.now + wait + std::chrono::duration_cast<mono_time::duration>(later);
+  const std::chrono::duration<double> delay = wait * (rank_width * (rank + within_rank));
+  return call.now + wait + std::chrono::duration_cast<mono_time::duration>(delay);
 }
 
 } // namespace wisteriaflow::gateway
--- a/src/gateway/shared_prefix.cc
+++ b/src/gateway/shared_prefix.cc
@@ -10,7 +10,7 @@
 namespace wisteriaflow::gateway {
 namespace {
 
-constexpr std::size_t most_blocks = 256;
+constexpr std::size_t max_blocks = 256;
 
 double seconds(mono_time::duration d)
 {
@@ -31,7 +31,7 @@
     const auto& part = prompt[i];
     const std::string_view id(reinterpret_cast<const char*>(&part.id), sizeof part.id);
     for (std::uint32_t t = 0; t + tokens_per_block <= part.tokens; t += tokens_per_block) {
-      if (out.hashes.size() < most_blocks) {
+      if (out.hashes.size() < max_blocks) {
         out.hashes.push_back(hash64_of(id, chain + t));
         chain = out.hashes.back();
       }
@@ -41,32 +41,33 @@
   return out;
 }
 
-double prefix_spread::faded(const traffic& t, mono_time now) const
+double prefix_traffic_meter::decayed_load(const traffic& t, mono_time now) const
 {
-  return t.busy * std::exp(-seconds(now - t.at) / seconds(options_.memory));
+  return t.busy * std::exp(-seconds(now - t.at) / seconds(options_.time_constant));
 }
 
-void prefix_spread::forget_quiet(mono_time now)
+void prefix_traffic_meter::evict_idle(mono_time now)
 {
-  constexpr int memories = 5; // after which less than 1% is left
-  std::erase_if(prefixes_,
-                [&](const auto& it) { return it.second.at + memories * options_.memory < now; });
-  if (prefixes_.size() >= options_.most_prefixes) {
-    prefixes_.clear(); // measured again within a few requests
+  constexpr int time_constants = 5; // less than 1% of the load is left then
+  std::erase_if(prefixes_, [&](const auto& it) {
+    return it.second.at + time_constants * options_.time_constant < now;
+  });
+  if (prefixes_.size() >= options_.max_prefixes) {
+    prefixes_.clear(); // they are measured again within a few requests
   }
 }
 
-std::size_t prefix_spread::homes_of(std::uint64_t key, double seconds_busy, std::size_t daemons,
-                                    mono_time now)
+std::size_t prefix_traffic_meter::affinity_count(std::uint64_t key, double seconds_busy,
+                                                 std::size_t daemons, mono_time now)
 {
-  if (prefixes_.size() >= options_.most_prefixes && !prefixes_.contains(key)) {
-    forget_quiet(now);
+  if (prefixes_.size() >= options_.max_prefixes && !prefixes_.contains(key)) {
+    evict_idle(now);
   }
   auto& it = prefixes_[key];
-  const double before = faded(it, now);
-  it = {.busy = before + seconds_busy / seconds(options_.memory), .at = now};
+  const double before = decayed_load(it, now);
+  it = {.busy = before + seconds_busy / seconds(options_.time_constant), .at = now};
   const double fleet = before * static_cast<double>(daemons);
-  return 1 + static_cast<std::size_t>(fleet / options_.busy_limit);
+  return 1 + static_cast<std::size_t>(fleet / options_.max_endpoint_utilization);
 }
 
 std::optional<std::size_t> likeliest_holder(const prompt_blocks& prompt,
@@ -76,7 +77,7 @@
     return std::nullopt;
   }
   const auto rank = [&](const prefix_holder& h) {
-    return std::pair(std::min(h.believed, prompt.shared),
+    return std::pair(std::min(h.blocks_sent, prompt.shared),
                      rendezvous_score(*prompt.shared_key, h.id.value()));
   };
   const auto best =
--- a/src/gateway/stated_terms.cc
+++ b/src/gateway/stated_terms.cc
@@ -8,20 +8,21 @@
 
 using std::chrono::milliseconds;
 
-// News are told in every report for this long, well above the time in which they reach all.
-constexpr milliseconds news_told{2'500};
-// A statement heard again within this is the same one, come by way of another daemon: its age grows
-// by less than the way takes.
-constexpr milliseconds same_statement{500};
-// A rate that nobody has confirmed for so long is forgotten. While calls come, holders of a share
-// hear from the endpoint once a minute at the least.
-constexpr milliseconds rate_kept{120'000};
-// An endpoint that leaves has ended well before this.
-constexpr milliseconds leaving_kept{600'000};
+// Changed terms are contained in every report for this long, well above the time in which they
+// reach all daemons.
+constexpr milliseconds change_gossip_duration{2'500};
+// A statement that differs in time by less than this is the same one, received through another
+// daemon: its age doesn't include the transmission time.
+constexpr milliseconds same_statement_window{500};
+// A rate limit that was not confirmed for this long is removed. While calls arrive, holders of a
+// share get an answer of the endpoint once a minute at least.
+constexpr milliseconds rate_retention{120'000};
+// A leaving endpoint has terminated well before this.
+constexpr milliseconds leaving_retention{600'000};
 
 milliseconds kept_for(bool leaving)
 {
-  return leaving ? leaving_kept : rate_kept;
+  return leaving ? leaving_retention : rate_retention;
 }
 
 } // namespace
@@ -57,58 +58,58 @@
   return changed;
 }
 
-terms_step stated_terms::on_answer(const answered_terms& said, mono_time now)
+terms_action stated_terms::on_answer(const answer_terms& answer, mono_time now)
 {
-  const auto& id = said.process.id;
-  if (const auto& pause = said.terms.pause) {
+  const auto& id = answer.process.id;
+  if (const auto& pause = answer.terms.pause) {
     auto& until = paused_until_[id];
-    until = std::max(until, now + *pause); // an answer to an earlier request may ask for less
+    until = std::max(until, now + *pause); // the answer to an earlier request may ask for less
   }
-  const auto& rate = said.terms.request_rate;
+  const auto& rate = answer.terms.request_rate;
   const auto known = entries_.find(id);
   const bool limited = known != entries_.end() && known->second.request_rate;
-  // A rate that cannot be believed leaves the former as it is, as does an answer that may be
-  // another program's.
-  const bool ends_rate = limited && !rate && said.is_signed && said.terms.rejected.empty() &&
-                         said.sent_at > known->second.said_at;
-  if (!rate && !said.terms.leaving && !ends_rate) {
-    return terms_step::nothing;
+  // An invalid rate leaves the previous one in force, and so does an unsigned answer, which may
+  // come from another program.
+  const bool ends_rate = limited && !rate && answer.is_signed && answer.terms.rejected.empty() &&
+                         answer.sent_at > known->second.stated_at;
+  if (!rate && !answer.terms.leaving && !ends_rate) {
+    return terms_action::nothing;
   }
-  auto& it = entry_of(said.process);
-  it.said_at = now;
-  bool is_news = said.terms.leaving && set_leaving(it, now);
+  auto& it = entry_of(answer.process);
+  it.stated_at = now;
+  bool is_changed = answer.terms.leaving && set_leaving(it, now);
   if (rate || ends_rate) {
-    is_news = set_rate(id, it, rate, now) || is_news;
+    is_changed = set_rate(id, it, rate, now) || is_changed;
   }
-  return is_news ? terms_step::tell : terms_step::nothing;
+  return is_changed ? terms_action::gossip : terms_action::nothing;
 }
 
-terms_step stated_terms::on_told(const told_terms& told, mono_time now)
+terms_action stated_terms::on_peer_terms(const peer_terms& received, mono_time now)
 {
-  if (told.request_rate && !is_credible_rate(*told.request_rate)) {
-    return terms_step::reject;
+  if (received.request_rate && !is_valid_rate(*received.request_rate)) {
+    return terms_action::reject;
   }
-  const auto& id = told.process.id;
-  const auto said_at = now - told.age;
-  if (said_at + kept_for(told.leaving) <= now) {
-    return terms_step::nothing;
+  const auto& id = received.process.id;
+  const auto stated_at = now - received.age;
+  if (stated_at + kept_for(received.leaving) <= now) {
+    return terms_action::nothing;
   }
   const auto known = entries_.find(id);
   const bool is_new = known == entries_.end();
-  if (!is_new && is_restart({.incarnation = known->second.incarnation}, told.process) &&
-      said_at <= known->second.said_at) {
-    return terms_step::nothing; // of the process before
+  if (!is_new && is_restart({.incarnation = known->second.incarnation}, received.process) &&
+      stated_at <= known->second.stated_at) {
+    return terms_action::nothing; // stated by the previous process
   }
-  auto& it = entry_of(told.process);
-  const bool leaves = told.leaving && set_leaving(it, now);
-  const bool same = !leaves && it.request_rate == told.request_rate;
-  if (is_new || said_at > it.said_at + (same ? same_statement : milliseconds{0})) {
-    it.said_at = said_at;
-    set_rate(id, it, told.request_rate, now);
+  auto& it = entry_of(received.process);
+  const bool leaves = received.leaving && set_leaving(it, now);
+  const bool same = !leaves && it.request_rate == received.request_rate;
+  if (is_new || stated_at > it.stated_at + (same ? same_statement_window : milliseconds{0})) {
+    it.stated_at = stated_at;
+    set_rate(id, it, received.request_rate, now);
   }
-  // A rate binds from some seconds after it was named; that an endpoint leaves has to be known
-  // soon.
-  return leaves ? terms_step::tell : terms_step::nothing;
+  // A rate limit takes effect only some seconds after it was stated, but all daemons must learn
+  // soon that an endpoint is leaving.
+  return leaves ? terms_action::gossip : terms_action::nothing;
 }
 
 bool stated_terms::is_leaving(const endpoint_process& process) const
@@ -118,7 +119,7 @@
          !is_restart({.incarnation = it->second.incarnation}, process);
 }
 
-void stated_terms::forget(const endpoint_id& id)
+void stated_terms::remove(const endpoint_id& id)
 {
   entries_.erase(id);
   shares_.clear(id);
@@ -129,7 +130,7 @@
 {
   std::erase_if(paused_until_, [now](const auto& it) { return it.second <= now; });
   for (auto it = entries_.begin(); it != entries_.end();) {
-    if (it->second.said_at + kept_for(it->second.leaving) <= now) {
+    if (it->second.stated_at + kept_for(it->second.leaving) <= now) {
       shares_.clear(it->first);
       it = entries_.erase(it);
     } else {
@@ -145,44 +146,44 @@
   return paused == paused_until_.end() ? open_at : std::max(open_at, paused->second);
 }
 
-told_terms stated_terms::tell(const entry_map::value_type& it, mono_time now)
+peer_terms stated_terms::to_peer_terms(const entry_map::value_type& it, mono_time now)
 {
   const auto& [id, e] = it;
   return {.process = {.id = id, .incarnation = e.incarnation},
           .request_rate = e.request_rate,
           .leaving = e.leaving,
-          .age = std::chrono::ceil<milliseconds>(now - e.said_at)};
+          .age = std::chrono::ceil<milliseconds>(now - e.stated_at)};
 }
 
 template <typename predicate>
-void stated_terms::tell_in_turn(std::vector<told_terms>& out, std::size_t most, predicate is_wanted,
-                                mono_time now)
+void stated_terms::append_round_robin(std::vector<peer_terms>& out, std::size_t most,
+                                      predicate is_selected, mono_time now)
 {
-  auto it = entries_.lower_bound(next_);
+  auto it = entries_.lower_bound(next_gossiped_);
   for (std::size_t i = 0; i < entries_.size() && out.size() < most; ++i) {
     if (it == entries_.end()) {
       it = entries_.begin();
     }
-    if (is_wanted(it->first, it->second)) {
-      out.push_back(tell(*it, now));
+    if (is_selected(it->first, it->second)) {
+      out.push_back(to_peer_terms(*it, now));
     }
     ++it;
   }
-  next_ = it == entries_.end() ? endpoint_id() : it->first;
+  next_gossiped_ = it == entries_.end() ? endpoint_id() : it->first;
 }
 
-std::vector<told_terms> stated_terms::to_tell(std::size_t most, const in_use& is_in_use,
-                                              mono_time now)
+std::vector<peer_terms> stated_terms::to_gossip(std::size_t most, const in_use& is_in_use,
+                                                mono_time now)
 {
-  const auto is_news = [now](const endpoint_id&, const entry& e) {
-    return now < e.changed_at + news_told;
+  const auto is_changed = [now](const endpoint_id&, const entry& e) {
+    return now < e.changed_at + change_gossip_duration;
   };
   const auto is_other = [&](const endpoint_id& id, const entry& e) {
-    return !is_news(id, e) && is_in_use(id);
+    return !is_changed(id, e) && is_in_use(id);
   };
-  std::vector<told_terms> out;
-  tell_in_turn(out, most, is_news, now);
-  tell_in_turn(out, most, is_other, now);
+  std::vector<peer_terms> out;
+  append_round_robin(out, most, is_changed, now);
+  append_round_robin(out, most, is_other, now);
   return out;
 }
 
--- a/src/gateway/terms_codec.cc
+++ b/src/gateway/terms_codec.cc
@@ -9,8 +9,8 @@
 
 namespace json = boost::json;
 
-// Short names: many of these may travel in each report.
-json::value encode(const told_terms& t)
+// Short names, since a report may contain many of these.
+json::value encode(const peer_terms& t)
 {
   json::object out = {
       {"id", t.process.id.value()}, {"inc", t.process.incarnation}, {"age", t.age.count()}};
@@ -23,9 +23,9 @@
   return out;
 }
 
-told_terms decode(const json::value& from)
+peer_terms decode(const json::value& from)
 {
-  told_terms out{.process = {.id = endpoint_id(internal::text_at(from, "id")),
+  peer_terms out{.process = {.id = endpoint_id(internal::text_at(from, "id")),
                              .incarnation = internal::number_at(from, "inc")},
                  .age = internal::decode_age(from.at("age"))};
   if (const auto* rate = from.as_object().if_contains("rate")) {
@@ -37,7 +37,7 @@
 
 } // namespace
 
-json::value encode_terms(const std::vector<told_terms>& terms)
+json::value encode_terms(const std::vector<peer_terms>& terms)
 {
   json::array out;
   for (const auto& t : terms) {
@@ -46,9 +46,9 @@
   return out;
 }
 
-std::vector<told_terms> decode_terms(const json::value& from)
+std::vector<peer_terms> decode_terms(const json::value& from)
 {
-  std::vector<told_terms> out;
+  std::vector<peer_terms> out;
   for (const auto& t : from.as_array()) {
     out.push_back(decode(t));
   }
--- a/src/gateway/version_traffic.cc
+++ b/src/gateway/version_traffic.cc
@@ -96,13 +96,13 @@
 bool traffic_splitter::record_pace(route_pace& pace, const call_outcome& outcome, bool is_baseline)
 {
   bool slow = false;
-  const auto check = [&](pace_limit& limit, const std::optional<double>& seconds) {
+  const auto check = [&](slow_call_detector& limit, const std::optional<double>& seconds) {
     if (!seconds) {
       return;
     }
     slow = slow || limit.is_slow(*seconds).value_or(false);
     if (is_baseline) {
-      limit.note(*seconds);
+      limit.add_sample(*seconds);
     }
   };
   check(pace.first, outcome.first_event_seconds);
--- a/src/relay/attempt.cc
+++ b/src/relay/attempt.cc
@@ -119,7 +119,7 @@
   const bool whole = result_.how == end::whole || result_.how == end::stream_ended;
   if (result_.head_came && (whole || head_.not_run)) {
     // A promise of not having run stands even if the rest of the answer was lost.
-    result_.outcome = gateway::judge(head_, call_.description.request_id);
+    result_.outcome = gateway::classify_answer(head_, call_.description.request_id);
   }
   if (result_.how != end::not_sent && !whole) {
     result_.how = end::cut;
@@ -147,7 +147,7 @@
   // What ends because its endpoint leaves or is gone says nothing of the version.
   const bool ran =
       result_.how != attempt_result::end::not_sent && result_.outcome != attempt_outcome::not_run;
-  out.is_counted = ran && state_.endpoints.is_staying(endpoint_.process());
+  out.is_counted = ran && state_.endpoints.is_active(endpoint_.process());
   const bool resumed = call_.history.sent > 0 && call_.last_event;
   if (!out.failed && !resumed && begun_) {
     const double work =
@@ -179,23 +179,23 @@
     state_.endpoints.on_success(endpoint_.id);
     break;
   case attempt_outcome::failed:
-    note_trouble(gateway::endpoint_trouble::failed, now);
+    note_trouble(gateway::endpoint_failure::failed, now);
     break;
   case attempt_outcome::not_run:
     break; // full, not ill
   case attempt_outcome::broken:
     note_trouble(result_.how == attempt_result::end::not_sent
-                     ? gateway::endpoint_trouble::unreachable
-                     : gateway::endpoint_trouble::broken,
+                     ? gateway::endpoint_failure::unreachable
+                     : gateway::endpoint_failure::broken,
                  now);
     break;
   }
 }
 
-void attempt::note_trouble(gateway::endpoint_trouble kind, mono_time now)
+void attempt::note_trouble(gateway::endpoint_failure kind, mono_time now)
 {
-  if (state_.endpoints.on_trouble(endpoint_.id, kind, now)) {
-    if (kind == gateway::endpoint_trouble::unreachable) {
+  if (state_.endpoints.on_failure(endpoint_.id, kind, now)) {
+    if (kind == gateway::endpoint_failure::unreachable) {
       state_.announce_news(); // so that not each daemon has to find out by a time-out of its own
     }
     state_.log.write(daemon::log_level::warn, "endpoint left out",
@@ -214,7 +214,7 @@
   if (!head_.other_endpoint) {
     note_statement();
   }
-  const auto outcome = gateway::judge(head_, call_.description.request_id);
+  const auto outcome = gateway::classify_answer(head_, call_.description.request_id);
   streaming_ = head_.is_stream && http::status::is_success(head.status) &&
                outcome == attempt_outcome::answered;
   if (!streaming_ && (outcome == attempt_outcome::answered || outcome == attempt_outcome::failed)) {
@@ -226,7 +226,7 @@
 void attempt::note_statement()
 {
   result_.statement = head_.statement;
-  const auto terms = gateway::believed(head_.statement);
+  const auto terms = gateway::validated_terms(head_.statement);
   for (const auto& text : terms.rejected) {
     state_.counters.count("endpoint_statements_rejected");
     state_.log.write(daemon::log_level::warn, "endpoint statement not believed",
@@ -354,7 +354,7 @@
   }
   if (heard_at_ + overdue_in_spans * expected_silence() <= now) {
     // It goes on, since it may be running; but others are to go elsewhere meanwhile.
-    note_trouble(gateway::endpoint_trouble::broken, now);
+    note_trouble(gateway::endpoint_failure::broken, now);
   }
   if (may_give_up() && heard_at_ + patience_in_spans * expected_silence() <= now) {
     result_.silent = true;
--- a/src/relay/attempt.h
+++ b/src/relay/attempt.h
@@ -109,7 +109,7 @@
   void note_version(mono_time now);
   void end_version(const gateway::call_outcome& outcome);
   [[nodiscard]] gateway::call_attempt placed() const;
-  void note_trouble(gateway::endpoint_trouble kind, mono_time now);
+  void note_trouble(gateway::endpoint_failure kind, mono_time now);
   void note_begin();
   // Counts what an attempt after the first costs.
   void count_repetition();
--- a/src/relay/call_log.cc
+++ b/src/relay/call_log.cc
@@ -20,7 +20,7 @@
 
 template <typename value_type>
 void add_stated(log_fields& to, const char* name,
-                const std::optional<gateway::stated<value_type>>& said)
+                const std::optional<gateway::parsed_value<value_type>>& said)
 {
   if (said) {
     to.emplace_back(name, said->text);
--- a/src/relay/call_relay.cc
+++ b/src/relay/call_relay.cc
@@ -85,7 +85,7 @@
   admitted_call call{.description = adapter::decode_call(received, now),
                      .configuration = state_.configuration(),
                      .received_at = now};
-  if (!call.configuration || !state_.endpoints.is_known()) {
+  if (!call.configuration || !state_.endpoints.has_list()) {
     return call_refusal{http::status::unavailable, "no configuration yet", now + retry_pause};
   }
   call.route = call.configuration->match(call.description.host, call.description.path);
@@ -260,7 +260,7 @@
     co_await give_up(call, writer);
     co_return false;
   }
-  call.history = gateway::after(call.history, last.outcome);
+  call.history = gateway::record_attempt(call.history, last.outcome);
   call.history.timed_out = last.timed_out;
   if (in_time && may_repeat(call, last)) {
     if (last.how == attempt_result::end::whole && last.outcome == attempt_outcome::failed) {
@@ -285,8 +285,7 @@
 
 bool call_relay::may_repeat(const admitted_call& call, const attempt_result& last)
 {
-  if (last.outcome == attempt_outcome::answered ||
-      !gateway::may_send_again(*call.route, call.history)) {
+  if (last.outcome == attempt_outcome::answered || !gateway::may_retry(*call.route, call.history)) {
     return false;
   }
   // A stream that has begun can only go on where it stopped.
@@ -338,7 +337,7 @@
   std::optional<mono_time> retry_at;
   if (status == http::status::unavailable) {
     retry_at =
-        gateway::return_time({.now = now, .open_at = why.retry_at, .rank = call.priority}, random_);
+        gateway::retry_time({.now = now, .open_at = why.retry_at, .rank = call.priority}, random_);
   }
   auto out = adapter::refusal(status, to_string(why.reason), retry_at, now);
   co_await writer.send(std::move(out));
@@ -351,18 +350,18 @@
     state_.retries.on_call(call.service, now);
   }
   const auto& d = call.description;
-  gateway::endpoint_wish wish{.service = call.service,
-                              .prompt = d.prompt,
-                              .size = d.size,
-                              .target = call.received_at + call.route->target_latency,
-                              .deadline = call.deadline,
-                              .excluded = call.excluded,
-                              .may_be_refused = !call.history.may_have_run};
+  gateway::selection_criteria wish{.service = call.service,
+                                   .prompt = d.prompt,
+                                   .size = d.size,
+                                   .target = call.received_at + call.route->target_latency,
+                                   .deadline = call.deadline,
+                                   .excluded = call.excluded,
+                                   .may_be_refused = !call.history.may_have_run};
   return choose_version(call, wish, now);
 }
 
 gateway::pool_choice call_relay::choose_version(const admitted_call& call,
-                                                gateway::endpoint_wish& wish, mono_time now)
+                                                gateway::selection_criteria& wish, mono_time now)
 {
   using side = gateway::version_selection::subset;
   if (!state_.version_calls.is_open(call.service)) {
--- a/src/relay/call_relay.h
+++ b/src/relay/call_relay.h
@@ -67,7 +67,7 @@
                                        routing::no_endpoint why = {});
   gateway::pool_choice choose(const admitted_call& call);
   // Among the endpoints of the version that the call goes to while a roll-out is under way.
-  gateway::pool_choice choose_version(const admitted_call& call, gateway::endpoint_wish& wish,
+  gateway::pool_choice choose_version(const admitted_call& call, gateway::selection_criteria& wish,
                                       mono_time now);
   const std::string& draw_service(const gateway::route& r);
   bool may_repeat(const admitted_call& call, const attempt_result& last);
--- a/src/relay/crash_store.cc
+++ b/src/relay/crash_store.cc
@@ -86,10 +86,10 @@
 std::size_t crash_store::take(const std::string& name, const boost::json::value& spec)
 {
   try {
-    const auto news = gateway::decode_crash_news(spec);
-    state_.crashes.absorb(news, state_.fleet_time());
+    const auto news = gateway::decode_crash_report(spec);
+    state_.crashes.merge(news, state_.fleet_time());
     return news.crashes.size();
-  } catch (const gateway::crash_news_error& e) {
+  } catch (const gateway::crash_report_error& e) {
     state_.log.write(daemon::log_level::error, "stored hold unreadable",
                      {{"content", name}, {"reason", e.what()}});
     return 0;
@@ -101,8 +101,8 @@
   const auto holds = state_.crashes.holds();
   for (const auto& [content, hold] : holds) {
     const auto it = stored_.find(content);
-    const bool is_stored = it != stored_.end() && it->second >= hold.ended.size();
-    if (!is_stored && !co_await write(content, hold.ended.size())) {
+    const bool is_stored = it != stored_.end() && it->second >= hold.crashed.size();
+    if (!is_stored && !co_await write(content, hold.crashed.size())) {
       co_return false;
     }
   }
@@ -112,7 +112,7 @@
 asio::awaitable<bool> crash_store::write(gateway::content_id content, std::size_t ended)
 {
   const auto name = to_string(content);
-  const auto spec = encode_crash_news(state_.crashes.evidence_of(content));
+  const auto spec = encode_crash_report(state_.crashes.evidence_of(content));
   auto create = adapter::create_call(hold_kind, name, spec);
   auto reply = co_await store_.call(std::move(create), "create", store_call_timeout);
   if (reply.result == adapter::store_result::conflict) {
--- a/src/relay/crash_watch.cc
+++ b/src/relay/crash_watch.cc
@@ -19,7 +19,7 @@
   // An endpoint that is known to leave ends by itself, with all that it has not finished: a zone
   // that is reclaimed says nothing of the calls that were there.
   const bool may_have_ended = result.outcome == attempt_outcome::broken && result.broke_off &&
-                              state_.endpoints.is_staying(result.endpoint);
+                              state_.endpoints.is_active(result.endpoint);
   if (!may_have_ended) {
     co_return;
   }
@@ -66,7 +66,7 @@
 std::optional<gateway::content_hold> crash_watch::hold_of(const admitted_call& call)
 {
   auto hold = state_.crashes.hold_of(call.content);
-  if (hold && is_trial_due(call.content, hold->try_at)) {
+  if (hold && is_trial_due(call.content, hold->probe_at)) {
     return std::nullopt;
   }
   return hold;
--- a/src/relay/duties.cc
+++ b/src/relay/duties.cc
@@ -211,7 +211,7 @@
   bool acted = false;
   for (;;) {
     co_await pause(planning_period);
-    if (!lease_.may_act() || !state_.endpoints.is_known()) {
+    if (!lease_.may_act() || !state_.endpoints.has_list()) {
       acted = false;
       continue;
     }
--- a/src/relay/fleet_state.cc
+++ b/src/relay/fleet_state.cc
@@ -78,16 +78,17 @@
 fleet_state::fleet_state(const settings& s, event_log& event_log)
     : options(s), log(event_log), incarnation(start_time()),
       endpoints({.self = s.id, .zone = s.zone, .seed = hash64_of(s.id.value(), incarnation)}),
-      feed({.notice = s.endpoint_notice, .seed = hash64_of(s.id.value(), incarnation)}),
-      quota({.self = s.id, .slack = s.quota_slack}),
-      retries({.ratio = s.retry_ratio, .slack = s.retry_slack, .window = s.retry_window}),
+      feed({.max_leaving_delay = s.endpoint_notice, .seed = hash64_of(s.id.value(), incarnation)}),
+      quota({.self = s.id, .slack = s.quota_slack}), retries({.retry_ratio = s.retry_ratio,
+                                                              .fleet_allowance = s.retry_slack,
+                                                              .window = s.retry_window}),
       peers({.self = s.id, .self_address = s.peers}), clock(clock_reading_valid),
       usage({.daemon = s.id, .incarnation = incarnation}, s.usage_window, usage_windows_kept),
       versions(s.trial_part > 0),
       version_calls({.source = {.daemon = s.id, .incarnation = incarnation},
                      .target_fraction = trial_margin * s.trial_part})
 {
-  endpoints.use_only([this](const gateway::endpoint_record& r) {
+  endpoints.set_usable_filter([this](const gateway::endpoint_record& r) {
     return versions.is_usable({.service = r.service, .version = r.version, .revision = r.revision},
                               rollouts);
   });
@@ -149,7 +150,7 @@
 bool fleet_state::is_ready() const
 {
   const bool knows_rollouts = !has_rollouts() || versions.rollouts_revision() > 0;
-  return knows_rollouts && configuration_ && endpoints.is_known() && !leaving_since_;
+  return knows_rollouts && configuration_ && endpoints.has_list() && !leaving_since_;
 }
 
 std::uint64_t fleet_state::seed() const
@@ -228,7 +229,7 @@
 void fleet_state::take_endpoint(const gateway::endpoint_record& record, mono_time now)
 {
   endpoints.apply(record, now);
-  feed.note(record);
+  feed.update(record);
 }
 
 void fleet_state::take_departures(const std::vector<gateway::endpoint_departure>& told,
@@ -237,7 +238,7 @@
   bool news = false;
   for (const auto& d : told) {
     if (endpoints.on_departure(d, now)) {
-      feed.forget(d);
+      feed.on_departure(d);
       news = true;
     }
   }
@@ -246,9 +247,9 @@
   }
 }
 
-void fleet_state::take_answer(const gateway::answered_terms& said, mono_time now)
+void fleet_state::take_answer(const gateway::answer_terms& said, mono_time now)
 {
-  if (endpoints.on_answer(said, now) == gateway::terms_step::tell) {
+  if (endpoints.on_answer(said, now) == gateway::terms_action::gossip) {
     log_terms(said.process.id, said.terms.leaving, said.terms.request_rate, "answer");
     announce_news();
   }
@@ -269,11 +270,11 @@
   bool news = false;
   for (const auto& t : told.terms) {
     const auto step = endpoints.on_peer_terms(t, now);
-    if (step == gateway::terms_step::tell) {
+    if (step == gateway::terms_action::gossip) {
       log_terms(t.process.id, t.leaving, t.request_rate, "peer");
       news = true;
     }
-    if (step == gateway::terms_step::reject) {
+    if (step == gateway::terms_action::reject) {
       log.write(daemon::log_level::warn, "terms told by a peer not believed",
                 {{"peer", told.self.id.value()},
                  {"endpoint", t.process.id.value()},
@@ -294,7 +295,7 @@
 void fleet_state::follow_rollouts()
 {
   version_calls.update_orders(rollouts);
-  endpoints.check_usable();
+  endpoints.reapply_usable_filter();
   std::vector<std::uint64_t> orders;
   for (const auto& [service, e] : rollouts.all()) {
     orders.push_back(e.latest.order);
@@ -322,7 +323,7 @@
   const bool was_behind = versions.awaits_rollouts();
   versions.set_rollouts_revision(revision);
   if (was_behind) {
-    endpoints.check_usable();
+    endpoints.reapply_usable_filter();
   }
 }
 
@@ -333,11 +334,11 @@
   return std::chrono::duration_cast<std::chrono::milliseconds>(period);
 }
 
-gateway::retry_situation fleet_state::retry_situation() const
+gateway::retry_context fleet_state::retry_situation() const
 {
   const auto now = std::chrono::steady_clock::now();
   return {.daemons = peers.running_count(now),
-          .peers_tell = !live_peers_.empty() && !feed.is_reader() && is_ready()};
+          .peers_relay_store = !live_peers_.empty() && !feed.is_reader() && is_ready()};
 }
 
 std::vector<gateway::daemon_contact> fleet_state::contacts_to_tell(mono_time now)
@@ -363,7 +364,7 @@
     const auto& id = peer.contact.id;
     out.push_back({.contact = peer.contact,
                    .age = age,
-                   .work = most_of(endpoints.peers().work_of(id), for_each),
+                   .work = top_endpoints(endpoints.peers().work_of(id), for_each),
                    .prefill = endpoints.peers().prefill_of(id)});
   }
   return out;
@@ -401,16 +402,16 @@
   gateway::peer_report out{.self = self_contact(),
                            .configuration_version = configuration_version(),
                            .clock = now.wall,
-                           .work = most_of(endpoints.work_to_tell(now.mono), own_work_told),
+                           .work = top_endpoints(endpoints.work_to_gossip(now.mono), own_work_told),
                            .prefill = endpoints.own_prefill(),
                            .departures = endpoints.departures(now.mono),
-                           .terms = endpoints.terms_to_tell(terms_told, now.mono),
+                           .terms = endpoints.terms_to_gossip(terms_told, now.mono),
                            .endpoints = endpoint_view(now.mono),
                            .usage = usage.rows_for_peer(is_silent, usage_rows_told),
                            .rollouts = rollouts.all(),
                            .rollouts_revision = versions.rollouts_revision(),
                            .rollout_rows = version_calls.rows(clock.now(now)),
-                           .crashes = crashes.news(clock.now(now)),
+                           .crashes = crashes.recent_changes(clock.now(now)),
                            .crash_digest = crashes.digest()};
   if (extent == report_extent::whole) {
     add_what_is_known_of_others(out, now.mono);
@@ -447,7 +448,7 @@
     follow_rollouts();
   }
   on_rollouts_read(told.rollouts_revision);
-  crashes.absorb(told.crashes, clock.now(now));
+  crashes.merge(told.crashes, clock.now(now));
 }
 
 void fleet_state::log_peer_changes(const std::vector<daemon_id>& live)
@@ -473,9 +474,9 @@
     counters.set("configuration_age_seconds", seconds(now - *configuration_read_at_).count());
   }
   counters.set("endpoints_known", static_cast<double>(endpoints.all().size()));
-  counters.set("endpoints_limited", static_cast<double>(endpoints.limited()));
-  counters.set("endpoints_paused", static_cast<double>(endpoints.paused()));
-  if (endpoints.is_known()) {
+  counters.set("endpoints_limited", static_cast<double>(endpoints.rate_limited_count()));
+  counters.set("endpoints_paused", static_cast<double>(endpoints.paused_count()));
+  if (endpoints.has_list()) {
     counters.set("endpoints_age_seconds", seconds(feed.view(now).age).count());
   }
   counters.set("log_lines_queued", static_cast<double>(log.queued()));
--- a/src/relay/fleet_state.h
+++ b/src/relay/fleet_state.h
@@ -98,14 +98,14 @@
   void take_departures(const std::vector<gateway::endpoint_departure>& told, mono_time now);
 
   // What an endpoint said of itself in an answer.
-  void take_answer(const gateway::answered_terms& said, mono_time now);
+  void take_answer(const gateway::answer_terms& said, mono_time now);
 
   // Time between two calls of one daemon, so that the whole fleet makes `fleet_calls_per_second`.
   [[nodiscard]] std::chrono::milliseconds call_period(double fleet_calls_per_second) const;
 
   // Who else may be calling the store, and whether peers tell what it holds. Those that read the
   // endpoints for all are told by nobody.
-  [[nodiscard]] gateway::retry_situation retry_situation() const;
+  [[nodiscard]] gateway::retry_context retry_situation() const;
 
   // How current the endpoints are here, and what a peer lacks whose view is at `revision`. Nothing
   // is told while removals are on hold: a peer that followed would never see them.
--- a/src/relay/hold_log.cc
+++ b/src/relay/hold_log.cc
@@ -10,12 +10,12 @@
 log_fields fields_of(const gateway::content_id& content, const gateway::content_hold& hold)
 {
   std::string ended;
-  for (const auto& process : hold.ended) {
+  for (const auto& process : hold.crashed) {
     ended += (ended.empty() ? "" : ",") + process.id.value();
   }
   return {{"content", to_string(content)},
           {"endpoints_ended", std::move(ended)},
-          {"tried_from_unix_ms", std::to_string(to_unix_ms(hold.try_at))}};
+          {"tried_from_unix_ms", std::to_string(to_unix_ms(hold.probe_at))}};
 }
 
 void hold_log::note(content_holds present, event_log& log)
--- a/src/relay/peer_sync.cc
+++ b/src/relay/peer_sync.cc
@@ -202,7 +202,7 @@
     if (reply.status == http::status::ok) {
       const auto told = unpack_report(reply.body, reply.fields);
       take_report(told, peer);
-      if (state_.feed.on_peer_view(told.endpoints, asked_at) == gateway::feed_step::fetch) {
+      if (state_.feed.on_peer_view(told.endpoints, asked_at) == gateway::feed_action::fetch) {
         fetch_endpoints(peer);
       }
     }
@@ -255,7 +255,7 @@
     state_.take_departures(changes.departures, now);
     for (const auto& r : changes.records) {
       state_.endpoints.apply(r, now);
-      state_.feed.note_fetched(r);
+      state_.feed.update_from_peer(r);
     }
     state_.feed.on_fetched(changes.view, after, asked_at);
   };
@@ -292,7 +292,7 @@
 {
   fetch_kind kind{.what = "crashes", .target = std::string(crashes_target)};
   kind.take = [this](const std::string& body) {
-    state_.crashes.absorb(gateway::decode_crash_news(parse_json(body)), state_.fleet_time());
+    state_.crashes.merge(gateway::decode_crash_report(parse_json(body)), state_.fleet_time());
   };
   asio::co_spawn(context_, fetch(peer, std::move(kind)), asio::detached);
 }
@@ -387,7 +387,7 @@
       out = answer_endpoints(asked);
     } else if (asked.target == crashes_target) {
       out = {.status = http::status::ok,
-             .body = boost::json::serialize(encode_crash_news(state_.crashes.all()))};
+             .body = boost::json::serialize(encode_crash_report(state_.crashes.all()))};
     } else if (asked.target == metrics_target) {
       out = {.status = http::status::ok, .body = state_.counters.exposition()};
     }
--- a/src/relay/store_client.cc
+++ b/src/relay/store_client.cc
@@ -86,7 +86,7 @@
 
 milliseconds store_client::backoff(unsigned failures)
 {
-  return retries_.pause_after(failures, state_.retry_situation());
+  return retries_.backoff_after(failures, state_.retry_situation());
 }
 
 } // namespace wisteriaflow::relay
--- a/src/relay/store_sync.cc
+++ b/src/relay/store_sync.cc
@@ -208,10 +208,10 @@
 {
   for (;;) {
     const auto now = std::chrono::steady_clock::now();
-    if (state_.feed.is_due(now)) {
+    if (state_.feed.is_read_due(now)) {
       co_return;
     }
-    const auto left = std::chrono::ceil<milliseconds>(state_.feed.due_at() - now);
+    const auto left = std::chrono::ceil<milliseconds>(state_.feed.next_read_at() - now);
     co_await pause(std::max(left, endpoint_check_period));
   }
 }
@@ -241,7 +241,7 @@
   if (page.changes.size() < changes_of_a_full_page) {
     state_.feed.on_read(page.revision, asked_at);
   } else {
-    state_.feed.on_partly_read(page.revision);
+    state_.feed.on_partial_read(page.revision);
   }
 }
 
@@ -257,7 +257,7 @@
   }
   state_.endpoints.replace_all(records, all.revision, std::chrono::steady_clock::now());
   for (const auto& r : records) {
-    state_.feed.note(r);
+    state_.feed.update(r);
   }
   state_.log.write(
       daemon::log_level::info, "endpoints listed",
@@ -299,7 +299,7 @@
     const gateway::endpoint_departure gone{.id = endpoint_id(c.object.name),
                                            .revision = removed_at(page, i)};
     state_.endpoints.remove(gone, now);
-    state_.feed.forget(gone);
+    state_.feed.on_departure(gone);
   } else {
     try {
       state_.take_endpoint(adapter::decode_endpoint(c.object), now);
--- a/test/adapter/messages_test.cc
+++ b/test/adapter/messages_test.cc
@@ -24,7 +24,7 @@
           .body = "text"};
 }
 
-gateway::attempt_terms terms()
+gateway::attempt_parameters terms()
 {
   return {.endpoint = endpoint_id("i-1"),
           .workspace = workspace_id("hotel"),
@@ -155,7 +155,7 @@
 {
   for (const char* text : {"many", "nan", "inf", "1e400", "1.5 a second", "", "0x10", "+1"}) {
     const auto head = decode_answer({.status = 200, .fields = {{"Server-Limit", text}}});
-    const gateway::stated<double> said{.text = text};
+    const gateway::parsed_value<double> said{.text = text};
     EXPECT_EQ(head.statement.request_rate, said) << text;
   }
 }
--- a/test/gateway/answer_verdict_test.cc
+++ b/test/gateway/answer_verdict_test.cc
@@ -11,66 +11,66 @@
   return {.status = 200, .has_signature = true, .request_id = "r1"};
 }
 
-TEST(AnswerVerdictTest, PassesOnASignedSuccess)
+TEST(AnswerVerdictTest, ForwardsASignedSuccess)
 {
-  EXPECT_EQ(judge(success(), "r1"), attempt_outcome::answered);
+  EXPECT_EQ(classify_answer(success(), "r1"), attempt_outcome::answered);
 }
 
-TEST(AnswerVerdictTest, TakesNoSuccessWithoutSignature)
+TEST(AnswerVerdictTest, RejectsASuccessWithoutSignature)
 {
   auto head = success();
   head.has_signature = false;
-  EXPECT_EQ(judge(head, "r1"), attempt_outcome::broken);
+  EXPECT_EQ(classify_answer(head, "r1"), attempt_outcome::broken);
 }
 
-TEST(AnswerVerdictTest, TakesNoAnswerToAnotherRequest)
+TEST(AnswerVerdictTest, RejectsAnAnswerToAnotherRequest)
 {
-  EXPECT_EQ(judge(success(), "r2"), attempt_outcome::broken);
+  EXPECT_EQ(classify_answer(success(), "r2"), attempt_outcome::broken);
 }
 
-TEST(AnswerVerdictTest, BelievesAnEndpointThatSaysItDidNotRunTheRequest)
+TEST(AnswerVerdictTest, AcceptsTheStatementThatTheRequestWasNotRun)
 {
-  EXPECT_EQ(judge({.status = 503, .not_run = true}, "r1"), attempt_outcome::not_run);
+  EXPECT_EQ(classify_answer({.status = 503, .not_run = true}, "r1"), attempt_outcome::not_run);
 }
 
-TEST(AnswerVerdictTest, DoesNotPassOnAStatusThatPromisesMoreThanTheEndpointDid)
+TEST(AnswerVerdictTest, DoesNotForwardANotRunStatusWithoutThatStatement)
 {
   for (const int status : {408, 421, 429, 503}) {
-    EXPECT_EQ(judge({.status = status, .has_signature = true, .request_id = "r1"}, "r1"),
+    EXPECT_EQ(classify_answer({.status = status, .has_signature = true, .request_id = "r1"}, "r1"),
               attempt_outcome::broken);
   }
 }
 
-TEST(AnswerVerdictTest, PassesOnAnEndpointsOwnRefusalAndFailure)
+TEST(AnswerVerdictTest, ForwardsAnEndpointsOwnClientAndServerErrors)
 {
-  EXPECT_EQ(judge({.status = 404, .request_id = "r1"}, "r1"), attempt_outcome::answered);
-  EXPECT_EQ(judge({.status = 500, .request_id = "r1"}, "r1"), attempt_outcome::failed);
+  EXPECT_EQ(classify_answer({.status = 404, .request_id = "r1"}, "r1"), attempt_outcome::answered);
+  EXPECT_EQ(classify_answer({.status = 500, .request_id = "r1"}, "r1"), attempt_outcome::failed);
 }
 
-TEST(AnswerVerdictTest, SendsANonIdempotentCallAgainOnlyIfItHasNotRun)
+TEST(AnswerVerdictTest, RetriesANonIdempotentCallOnlyIfItHasNotRun)
 {
   const route r{.kind = call_kind::non_idempotent, .max_attempts = 3};
-  EXPECT_TRUE(may_send_again(r, after({}, attempt_outcome::not_run)));
-  EXPECT_FALSE(may_send_again(r, after({}, attempt_outcome::broken)));
+  EXPECT_TRUE(may_retry(r, record_attempt({}, attempt_outcome::not_run)));
+  EXPECT_FALSE(may_retry(r, record_attempt({}, attempt_outcome::broken)));
 }
 
-TEST(AnswerVerdictTest, SendsAStreamAgainOnlyIfItIsResumable)
+TEST(AnswerVerdictTest, RetriesAStreamOnlyIfItIsResumable)
 {
   route r{.kind = call_kind::stream, .max_attempts = 3};
-  EXPECT_FALSE(may_send_again(r, after({}, attempt_outcome::broken)));
+  EXPECT_FALSE(may_retry(r, record_attempt({}, attempt_outcome::broken)));
   r.resumable = true;
-  EXPECT_TRUE(may_send_again(r, after({}, attempt_outcome::broken)));
+  EXPECT_TRUE(may_retry(r, record_attempt({}, attempt_outcome::broken)));
 }
 
-TEST(AnswerVerdictTest, KeepsToTheMostAttempts)
+TEST(AnswerVerdictTest, DoesNotExceedMaxAttempts)
 {
   const route r{.kind = call_kind::idempotent, .max_attempts = 1};
-  EXPECT_FALSE(may_send_again(r, after({}, attempt_outcome::not_run)));
+  EXPECT_FALSE(may_retry(r, record_attempt({}, attempt_outcome::not_run)));
 }
 
-TEST(AnswerVerdictTest, SaysTimedOutOnlyOfWhatMayHaveRun)
+TEST(AnswerVerdictTest, ReportsATimeOutForACallThatMayHaveRun)
 {
-  auto history = after({}, attempt_outcome::broken);
+  auto history = record_attempt({}, attempt_outcome::broken);
   history.timed_out = true;
   EXPECT_EQ(final_status(history), 504);
 }
@@ -83,7 +83,7 @@
   attempt_history history;
   bool all_not_run = true;
   for (const auto o : outcomes) {
-    history = after(history, o);
+    history = record_attempt(history, o);
     all_not_run = all_not_run && o == attempt_outcome::not_run;
   }
   RC_ASSERT((final_status(history) == 503) == all_not_run);
--- a/test/gateway/crash_codec_test.cc
+++ b/test/gateway/crash_codec_test.cc
@@ -7,7 +7,7 @@
 namespace wisteriaflow::gateway {
 namespace {
 
-const crash_news news{
+const crash_report report{
     .crashes = {{.process = {.id = endpoint_id("i-1"), .incarnation = 1'700'000'000'123},
                  .at = from_unix_ms(1'796'000'000'000),
                  .suspects = {{{.hash = {.high = 1, .low = ~std::uint64_t{0}}},
@@ -15,18 +15,18 @@
                               {{.hash = {.high = 2, .low = 3}}, answer_stage::not_begun}}}},
     .answered = {{{.hash = {.high = 5, .low = 6}}, from_unix_ms(1'796'000'000'001)}}};
 
-TEST(CrashCodecTest, ReadsWhatItWrote)
+TEST(CrashCodecTest, DecodesWhatItEncoded)
 {
-  const auto text = boost::json::serialize(encode_crash_news(news));
-  EXPECT_EQ(decode_crash_news(boost::json::parse(text)), news);
+  const auto text = boost::json::serialize(encode_crash_report(report));
+  EXPECT_EQ(decode_crash_report(boost::json::parse(text)), report);
 }
 
-TEST(CrashCodecTest, RejectsWhatIsNoCrashNews)
+TEST(CrashCodecTest, RejectsInvalidReports)
 {
   for (const auto* text : {"null", "[]", "{}", R"({"crashes":[],"answered":[]})",
                            R"({"crashes":[{"endpoint":"i"}],"answered":{}})",
                            R"({"crashes":[],"answered":{"x":1}})"}) {
-    EXPECT_THROW(decode_crash_news(boost::json::parse(text)), crash_news_error) << text;
+    EXPECT_THROW(decode_crash_report(boost::json::parse(text)), crash_report_error) << text;
   }
 }
 
--- a/test/gateway/crashing_requests_replay_test.cc
+++ b/test/gateway/crashing_requests_replay_test.cc
@@ -1,6 +1,7 @@
-// Replays a fleet before endpoints that end: by requests that end whatever runs them and come again
-// and again, or by other causes. Counts how often such a request is still sent, and how many others
-// are refused for having been near.
+// Simulates a fleet whose endpoints crash, either because of crash requests, which terminate every
+// endpoint that runs them and are sent again and again, or for other reasons. Counts how often a
+// crash request is still sent, and how many other requests are refused because they were in flight
+// at crashed endpoints.
 
 #include <algorithm>
 #include <cstdint>
@@ -20,29 +21,30 @@
 
 const wall_time start = from_unix_ms(1'796'000'000'000);
 constexpr auto step = 10ms;
-// As long as daemons in touch may take to know.
-constexpr auto contact_time = 3s;
+// Time in which connected daemons must learn of a crash.
+constexpr auto propagation_time = 3s;
 constexpr std::size_t tolerated_sends = 3;
-// One in 500 requests may be refused wrongly.
+// One in 500 other requests may be refused wrongly.
 constexpr double tolerated_refusals = 1.0 / 500;
 
 struct fleet_options {
   std::size_t daemons = 6;
   std::size_t endpoints = 9;
-  std::size_t places = 64; // of an endpoint
-  double arrivals = 0.6;   // a step; with 1.5 s on the mean 64 run at each endpoint at 3.8
-  double popular = 0.0;    // share of requests of one of five contents that come all the time
-  std::vector<std::uint64_t> deadly; // contents
-  std::chrono::milliseconds deadly_period{700};
-  int at_once = 1;                        // deadly requests of one content that come together
-  std::chrono::milliseconds zone_loss{0}; // from one loss of a third of the endpoints to the next
+  std::size_t places = 64; // requests that an endpoint runs concurrently
+  double arrivals = 0.6; // per step; at 3.8, with a mean run time of 1.5 s, 64 run at each endpoint
+  double popular = 0.0;  // share of requests with one of five contents that are sent all the time
+  std::vector<std::uint64_t> crashing; // contents of the crash requests
+  std::chrono::milliseconds crashing_period{700};
+  int batch_size = 1;                     // crash requests with one content that are sent at once
+  std::chrono::milliseconds zone_loss{0}; // interval between losses of a third of the endpoints
   std::uint64_t seed = 1;
 };
 
 struct tally {
   std::size_t others = 0;
   std::size_t others_refused = 0;
-  std::size_t deadly_sent_late = 0; // later than `contact_time` after the third end under it
+  std::size_t crashing_sent_late =
+      0; // more than `propagation_time` after the third crash caused by the content
 
   [[nodiscard]] double share_refused() const
   {
@@ -65,7 +67,7 @@
   {
     for (auto now = start; now < start + time; now += step) {
       begin_others(now);
-      begin_deadly(now);
+      begin_crashing(now);
       lose_zone(now);
       end_answered(now);
       end_crashed(now);
@@ -77,22 +79,22 @@
  private:
   struct request {
     std::uint64_t content = 0;
-    bool is_deadly = false;
+    bool is_crashing = false;
     std::size_t daemon = 0;
-    unsigned attempts_left = 1; // of this daemon
-    unsigned repeats_left = 1;  // of the caller, elsewhere
+    unsigned attempts_left = 1;       // by this daemon
+    unsigned caller_retries_left = 1; // by the caller, through another daemon
     wall_time first_event_at;
     wall_time ends_at;
   };
 
   struct endpoint {
     std::uint64_t incarnation = 1;
-    std::optional<wall_time> back_at; // nothing: it is there
+    std::optional<wall_time> restarts_at; // nothing: it is running
     std::vector<request> running;
   };
 
-  struct record_of_deadly {
-    std::size_t ended = 0;
+  struct crash_record {
+    std::size_t crashes = 0;
     std::optional<wall_time> third_at;
   };
 
@@ -109,7 +111,7 @@
       ++tally_.others;
       const bool is_popular = draw(options_.popular);
       const auto content = is_popular ? 1'000 + draw_below(5) : ++last_content_;
-      // Some may go on elsewhere, and callers repeat once.
+      // Some requests may be retried at another endpoint, and each caller retries once.
       send({.content = content,
             .daemon = draw_below(options_.daemons),
             .attempts_left = draw(0.5) ? 2U : 1U},
@@ -117,14 +119,15 @@
     }
   }
 
-  void begin_deadly(wall_time now)
+  void begin_crashing(wall_time now)
   {
-    if ((now - start) % options_.deadly_period != 0ms) {
+    if ((now - start) % options_.crashing_period != 0ms) {
       return;
     }
-    for (const auto content : options_.deadly) {
-      for (int i = 0; i < options_.at_once; ++i) {
-        send({.content = content, .is_deadly = true, .daemon = draw_below(options_.daemons)}, now);
+    for (const auto content : options_.crashing) {
+      for (int i = 0; i < options_.batch_size; ++i) {
+        send({.content = content, .is_crashing = true, .daemon = draw_below(options_.daemons)},
+             now);
       }
     }
   }
@@ -132,32 +135,33 @@
   void send(request r, wall_time now)
   {
     if (is_held(r, now)) {
-      tally_.others_refused += r.is_deadly ? 0 : 1;
+      tally_.others_refused += r.is_crashing ? 0 : 1;
       return;
     }
     std::vector<endpoint*> open;
     for (auto& e : endpoints_) {
-      if (!e.back_at && e.running.size() < options_.places) {
+      if (!e.restarts_at && e.running.size() < options_.places) {
         open.push_back(&e);
       }
     }
     if (open.empty()) {
       return;
     }
-    const auto third_at = deadly_[r.content].third_at;
-    tally_.deadly_sent_late += r.is_deadly && third_at && now >= *third_at + contact_time ? 1 : 0;
+    const auto third_at = crash_records_[r.content].third_at;
+    tally_.crashing_sent_late +=
+        r.is_crashing && third_at && now >= *third_at + propagation_time ? 1 : 0;
     const auto run_time = std::chrono::milliseconds(200 + draw_below(2'600));
     r.first_event_at = now + 150ms;
-    r.ends_at = now + (r.is_deadly ? 80ms : run_time);
+    r.ends_at = now + (r.is_crashing ? 80ms : run_time);
     open[draw_below(open.size())]->running.push_back(r);
   }
 
-  // One daemon tries a held content when that is due, one request at a time.
+  // One daemon probes a held content when that is due, with one request at a time.
   bool is_held(const request& r, wall_time now)
   {
     const auto hold = daemons_[r.daemon].hold_of(content_of(r.content));
-    const bool may_try = hold && hold->try_at <= now && r.content % options_.daemons == r.daemon &&
-                         !is_running(r.content);
+    const bool may_try = hold && hold->probe_at <= now &&
+                         r.content % options_.daemons == r.daemon && !is_running(r.content);
     return hold && !may_try;
   }
 
@@ -184,7 +188,7 @@
   {
     for (auto& e : endpoints_) {
       std::erase_if(e.running, [&](const request& r) {
-        const bool answered = !r.is_deadly && r.ends_at <= now;
+        const bool answered = !r.is_crashing && r.ends_at <= now;
         if (answered) {
           daemons_[r.daemon].on_answered(content_of(r.content), now);
         }
@@ -197,12 +201,12 @@
   {
     for (std::size_t i = 0; i < endpoints_.size(); ++i) {
       auto& e = endpoints_[i];
-      if (e.back_at && *e.back_at <= now) {
-        e.back_at.reset();
+      if (e.restarts_at && *e.restarts_at <= now) {
+        e.restarts_at.reset();
         ++e.incarnation;
       }
-      const auto ends_it = [&](const request& r) { return r.is_deadly && r.ends_at <= now; };
-      if (std::any_of(e.running.begin(), e.running.end(), ends_it)) {
+      const auto crashes_it = [&](const request& r) { return r.is_crashing && r.ends_at <= now; };
+      if (std::any_of(e.running.begin(), e.running.end(), crashes_it)) {
         crash(e, i, now);
       }
     }
@@ -213,7 +217,7 @@
     const endpoint_process process{.id = endpoint_id("i-" + std::to_string(number)),
                                    .incarnation = e.incarnation};
     const auto lost = std::exchange(e.running, {});
-    e.back_at = now + 4s;
+    e.restarts_at = now + 4s;
     for (const auto& r : lost) {
       daemons_[r.daemon].on_crash(
           {.process = process,
@@ -223,28 +227,28 @@
     }
     std::map<std::uint64_t, bool> seen;
     for (const auto& r : lost) {
-      if (r.is_deadly && !std::exchange(seen[r.content], true)) {
-        auto& record = deadly_[r.content];
-        if (++record.ended == 3) {
+      if (r.is_crashing && !std::exchange(seen[r.content], true)) {
+        auto& record = crash_records_[r.content];
+        if (++record.crashes == 3) {
           record.third_at = now;
         }
       }
     }
     for (const auto& r : lost) {
-      send_again(r, now);
+      retry(r, now);
     }
   }
 
-  void send_again(request r, wall_time now)
+  void retry(request r, wall_time now)
   {
-    if (r.is_deadly) {
-      return; // it comes again by itself
+    if (r.is_crashing) {
+      return; // begin_crashing() sends it again
     }
     if (--r.attempts_left == 0) {
-      if (r.repeats_left == 0) {
+      if (r.caller_retries_left == 0) {
         return;
       }
-      --r.repeats_left;
+      --r.caller_retries_left;
       r.attempts_left = draw(0.5) ? 2 : 1;
       r.daemon = draw_below(options_.daemons);
     }
@@ -256,14 +260,14 @@
     if ((now - start) % 400ms != 0ms) {
       return;
     }
-    std::map<const crash_suspects*, crash_news> news;
+    std::map<const crash_suspects*, crash_report> reports;
     for (auto& d : daemons_) {
-      news.emplace(&d, d.news(now));
+      reports.emplace(&d, d.recent_changes(now));
     }
     for (auto& to : daemons_) {
       for (const auto& from : daemons_) {
         if (&from != &to) {
-          to.absorb(news.at(&from), now);
+          to.merge(reports.at(&from), now);
         }
       }
       to.tick(now);
@@ -274,18 +278,19 @@
   std::mt19937_64 random_;
   std::vector<endpoint> endpoints_;
   std::vector<crash_suspects> daemons_;
-  std::map<std::uint64_t, record_of_deadly> deadly_;
+  std::map<std::uint64_t, crash_record> crash_records_;
   std::uint64_t last_content_ = 1'000'000;
   tally tally_;
 };
 
-// Both sides of what is asked, for several seeds.
-void expect_kept(fleet_options options, std::chrono::milliseconds time = 100s)
+// Checks both bounds, for several seeds: few crash requests are sent, and few other requests are
+// refused.
+void expect_within_bounds(fleet_options options, std::chrono::milliseconds time = 100s)
 {
   tally sum;
   for (options.seed = 1; options.seed <= 6; ++options.seed) {
     const auto one = fleet(options).run(time);
-    EXPECT_LE(one.deadly_sent_late, tolerated_sends * options.deadly.size())
+    EXPECT_LE(one.crashing_sent_late, tolerated_sends * options.crashing.size())
         << "seed " << options.seed;
     sum.others += one.others;
     sum.others_refused += one.others_refused;
@@ -296,44 +301,44 @@
   testing::Test::RecordProperty("others_refused", std::to_string(sum.others_refused));
 }
 
-TEST(CrashingRequestsReplayTest, OneThatComesAgainAndAgain)
+TEST(CrashingRequestsReplayTest, OneCrashRequestSentRepeatedly)
 {
-  expect_kept({.deadly = {1}});
+  expect_within_bounds({.crashing = {1}});
 }
 
-TEST(CrashingRequestsReplayTest, OneInFullBatches)
+TEST(CrashingRequestsReplayTest, OneCrashRequestInFullBatches)
 {
-  expect_kept({.arrivals = 3.8, .deadly = {1}});
+  expect_within_bounds({.arrivals = 3.8, .crashing = {1}});
 }
 
-TEST(CrashingRequestsReplayTest, OneThatComesSeveralTimesAtOnce)
+TEST(CrashingRequestsReplayTest, OneCrashRequestSentSeveralTimesAtOnce)
 {
-  expect_kept({.arrivals = 3.8, .deadly = {1}, .at_once = 4});
+  expect_within_bounds({.arrivals = 3.8, .crashing = {1}, .batch_size = 4});
 }
 
-TEST(CrashingRequestsReplayTest, FiveThatComeTogether)
+TEST(CrashingRequestsReplayTest, FiveCrashRequestsSentTogether)
 {
-  expect_kept({.arrivals = 3.8, .deadly = {1, 2, 3, 4, 5}});
+  expect_within_bounds({.arrivals = 3.8, .crashing = {1, 2, 3, 4, 5}});
 }
 
-TEST(CrashingRequestsReplayTest, OneAmongContentsThatComeAllTheTime)
+TEST(CrashingRequestsReplayTest, OneCrashRequestAmongPopularContents)
 {
-  expect_kept({.arrivals = 3.8, .popular = 0.3, .deadly = {1}});
+  expect_within_bounds({.arrivals = 3.8, .popular = 0.3, .crashing = {1}});
 }
 
-TEST(CrashingRequestsReplayTest, ZonesThatAreLostWithoutNotice)
+TEST(CrashingRequestsReplayTest, ZonesLostWithoutNotice)
 {
-  expect_kept({.arrivals = 3.8, .popular = 0.3, .zone_loss = 8s});
+  expect_within_bounds({.arrivals = 3.8, .popular = 0.3, .zone_loss = 8s});
 }
 
-TEST(CrashingRequestsReplayTest, OneWhileZonesAreLost)
+TEST(CrashingRequestsReplayTest, OneCrashRequestWhileZonesAreLost)
 {
-  expect_kept({.arrivals = 3.8, .popular = 0.1, .deadly = {1}, .zone_loss = 8s});
+  expect_within_bounds({.arrivals = 3.8, .popular = 0.1, .crashing = {1}, .zone_loss = 8s});
 }
 
-TEST(CrashingRequestsReplayTest, OneInALargeFleet)
+TEST(CrashingRequestsReplayTest, TwoCrashRequestsInALargeFleet)
 {
-  expect_kept({.daemons = 24, .endpoints = 60, .arrivals = 10, .deadly = {1, 2}});
+  expect_within_bounds({.daemons = 24, .endpoints = 60, .arrivals = 10, .crashing = {1, 2}});
 }
 
 } // namespace
--- a/test/gateway/endpoint_feed_test.cc
+++ b/test/gateway/endpoint_feed_test.cc
@@ -20,144 +20,145 @@
 
 class EndpointFeedTest : public testing::Test {
  protected:
-  // Both daemons have read the store at revision 10, where it held endpoint "a".
+  // Both daemons have read the store at revision 10, where it contained endpoint "a".
   EndpointFeedTest()
   {
     for (auto* feed : {&reader_, &follower_}) {
-      feed->note(record("a", 5));
+      feed->update(record("a", 5));
       feed->on_list({{endpoint_id("a"), record("a", 5)}}, 10, start);
     }
   }
 
-  feed_step tell(mono_time asked_at)
+  feed_action exchange_view(mono_time asked_at)
   {
     return follower_.on_peer_view(reader_.view(asked_at), asked_at);
   }
 
-  endpoint_feed reader_{{.notice = 2s, .seed = 1}};
-  endpoint_feed follower_{{.notice = 2s, .seed = 2}};
+  endpoint_feed reader_{{.max_leaving_delay = 2s, .seed = 1}};
+  endpoint_feed follower_{{.max_leaving_delay = 2s, .seed = 2}};
 };
 
-TEST_F(EndpointFeedTest, IsDueFromTheBeginning)
+TEST_F(EndpointFeedTest, ReadIsDueInitially)
 {
-  EXPECT_TRUE(endpoint_feed({}).is_due(start));
+  EXPECT_TRUE(endpoint_feed({}).is_read_due(start));
 }
 
-TEST_F(EndpointFeedTest, IsDueWellBeforeTheNoticeIsOver)
+TEST_F(EndpointFeedTest, ReadIsDueWellBeforeMaxLeavingDelay)
 {
-  EXPECT_FALSE(follower_.is_due(start + 1'000ms));
-  EXPECT_TRUE(follower_.is_due(start + 1'200ms));
+  EXPECT_FALSE(follower_.is_read_due(start + 1'000ms));
+  EXPECT_TRUE(follower_.is_read_due(start + 1'200ms));
 }
 
-TEST_F(EndpointFeedTest, AReaderIsDueInHalfTheTime)
+TEST_F(EndpointFeedTest, ReadOfAReaderIsDueInHalfTheTime)
 {
   reader_.set_reader(true);
   reader_.on_read(11, start + 10ms);
-  EXPECT_FALSE(reader_.is_due(start + 500ms));
-  EXPECT_TRUE(reader_.is_due(start + 610ms));
+  EXPECT_FALSE(reader_.is_read_due(start + 500ms));
+  EXPECT_TRUE(reader_.is_read_due(start + 610ms));
 }
 
-TEST_F(EndpointFeedTest, APeersReadingPutsTheOwnOff)
+TEST_F(EndpointFeedTest, AReadByAPeerPostponesTheOwn)
 {
   reader_.on_read(20, start + 500ms);
-  EXPECT_EQ(tell(start + 550ms), feed_step::nothing);
+  EXPECT_EQ(exchange_view(start + 550ms), feed_action::nothing);
   EXPECT_EQ(follower_.revision(), 20U);
-  EXPECT_FALSE(follower_.is_due(start + 1'500ms));
+  EXPECT_FALSE(follower_.is_read_due(start + 1'500ms));
 }
 
-TEST_F(EndpointFeedTest, HeartbeatsAreNoChanges)
+TEST_F(EndpointFeedTest, HeartbeatsAreNotChanges)
 {
-  reader_.note(record("a", 15));
+  reader_.update(record("a", 15));
   reader_.on_read(20, start + 500ms);
-  EXPECT_EQ(tell(start + 550ms), feed_step::nothing);
+  EXPECT_EQ(exchange_view(start + 550ms), feed_action::nothing);
   EXPECT_TRUE(reader_.changes_after(10, start + 550ms).records.empty());
 }
 
-TEST_F(EndpointFeedTest, FetchesChangesBeforeItTakesThePeersView)
+TEST_F(EndpointFeedTest, FetchesChangesBeforeAdoptingThePeersView)
 {
-  reader_.note(record("a", 15, true));
-  reader_.note(record("b", 16));
+  reader_.update(record("a", 15, true));
+  reader_.update(record("b", 16));
   reader_.on_read(20, start + 500ms);
-  EXPECT_EQ(tell(start + 550ms), feed_step::fetch);
+  EXPECT_EQ(exchange_view(start + 550ms), feed_action::fetch);
   EXPECT_EQ(follower_.revision(), 10U);
   const auto changes = reader_.changes_after(10, start + 560ms);
   EXPECT_EQ(changes.records, (std::vector{record("a", 15, true), record("b", 16)}));
   for (const auto& r : changes.records) {
-    follower_.note(r);
+    follower_.update(r);
   }
   follower_.on_fetched(changes.view, 10, start + 560ms);
   EXPECT_EQ(follower_.revision(), 20U);
   EXPECT_EQ(follower_.changes_after(10, start + 600ms).records, changes.records);
 }
 
-TEST_F(EndpointFeedTest, ForgetsEndpointsThatAreGone)
+TEST_F(EndpointFeedTest, RemovesEndpointsThatAreNotRetained)
 {
-  reader_.note(record("b", 16));
+  reader_.update(record("b", 16));
   reader_.retain({});
   EXPECT_TRUE(reader_.changes_after(0, start).records.empty());
 }
 
-TEST_F(EndpointFeedTest, DoesNotFollowADaemonThatListedAfterARemovalThatItNeverSaw)
+TEST_F(EndpointFeedTest, DoesNotAdoptTheViewOfADaemonThatMissedARemoval)
 {
-  // Endpoint "a" was removed at 15; a daemon that starts then lists what is left.
-  endpoint_feed started({.notice = 2s, .seed = 3});
-  started.note(record("b", 16));
+  // Endpoint "a" was removed at revision 15; a daemon that starts afterwards lists the rest.
+  endpoint_feed started({.max_leaving_delay = 2s, .seed = 3});
+  started.update(record("b", 16));
   started.on_list({{endpoint_id("b"), record("b", 16)}}, 20, start + 500ms);
   const auto view = started.view(start + 500ms);
-  EXPECT_EQ(follower_.on_peer_view(view, start + 500ms), feed_step::nothing);
+  EXPECT_EQ(follower_.on_peer_view(view, start + 500ms), feed_action::nothing);
   follower_.on_fetched(view, 10, start + 500ms);
   EXPECT_EQ(follower_.revision(), 10U);
   follower_.on_read(20, start + 600ms);
   started.on_read(25, start + 700ms);
-  EXPECT_EQ(follower_.on_peer_view(started.view(start + 700ms), start + 700ms), feed_step::nothing);
+  EXPECT_EQ(follower_.on_peer_view(started.view(start + 700ms), start + 700ms),
+            feed_action::nothing);
   EXPECT_EQ(follower_.revision(), 25U);
 }
 
-TEST_F(EndpointFeedTest, AnEndpointThatComesBackAsItWasIsAChange)
+TEST_F(EndpointFeedTest, AnEndpointThatReturnsUnchangedIsAChange)
 {
-  reader_.forget({.id = endpoint_id("a"), .revision = 5});
-  reader_.note(record("a", 15));
+  reader_.on_departure({.id = endpoint_id("a"), .revision = 5});
+  reader_.update(record("a", 15));
   reader_.on_read(20, start + 500ms);
-  EXPECT_EQ(tell(start + 550ms), feed_step::fetch);
+  EXPECT_EQ(exchange_view(start + 550ms), feed_action::fetch);
 }
 
-TEST_F(EndpointFeedTest, WhatWasFetchedIsPassedOnThoughItSaysNothingNewHere)
+TEST_F(EndpointFeedTest, AFetchedDescriptionIsPassedOnEvenIfUnchangedHere)
 {
-  follower_.note_fetched(record("a", 15));
+  follower_.update_from_peer(record("a", 15));
   EXPECT_EQ(follower_.changes_after(10, start).records, std::vector{record("a", 15)});
   EXPECT_EQ(follower_.view(start).changed, 15U);
 }
 
-TEST_F(EndpointFeedTest, AnAnswerThatTookLongDoesNotLookFresh)
+TEST_F(EndpointFeedTest, ADelayedAnswerDoesNotMakeTheViewFresh)
 {
   reader_.on_read(20, start + 500ms);
   const auto view = reader_.view(start + 2'500ms);
-  EXPECT_EQ(follower_.on_peer_view(view, start + 2'500ms), feed_step::nothing);
-  EXPECT_TRUE(follower_.is_due(start + 2'500ms));
+  EXPECT_EQ(follower_.on_peer_view(view, start + 2'500ms), feed_action::nothing);
+  EXPECT_TRUE(follower_.is_read_due(start + 2'500ms));
 }
 
-TEST_F(EndpointFeedTest, DoesNotFollowAcrossAGapInWhichItMayHaveMissedDepartures)
+TEST_F(EndpointFeedTest, DoesNotAdoptAViewAcrossAGapThatMayHideDepartures)
 {
   reader_.on_read(20, start + 6s);
-  EXPECT_EQ(tell(start + 6s), feed_step::nothing);
+  EXPECT_EQ(exchange_view(start + 6s), feed_action::nothing);
   EXPECT_EQ(follower_.revision(), 10U);
 }
 
-TEST_F(EndpointFeedTest, DoesNotFollowAPeerThatTellsNoView)
+TEST_F(EndpointFeedTest, DoesNotAdoptAnEmptyView)
 {
-  EXPECT_EQ(follower_.on_peer_view({}, start + 500ms), feed_step::nothing);
+  EXPECT_EQ(follower_.on_peer_view({}, start + 500ms), feed_action::nothing);
   follower_.on_fetched({}, 10, start + 500ms);
-  EXPECT_TRUE(follower_.is_due(start + 1'200ms));
+  EXPECT_TRUE(follower_.is_read_due(start + 1'200ms));
 }
 
-TEST_F(EndpointFeedTest, DoesNotFollowBeforeItsFirstReading)
+TEST_F(EndpointFeedTest, DoesNotAdoptAViewBeforeItsFirstRead)
 {
-  endpoint_feed fresh({.notice = 2s});
-  EXPECT_EQ(fresh.on_peer_view(reader_.view(start), start), feed_step::nothing);
+  endpoint_feed fresh({.max_leaving_delay = 2s});
+  EXPECT_EQ(fresh.on_peer_view(reader_.view(start), start), feed_action::nothing);
   EXPECT_EQ(fresh.revision(), 0U);
 }
 
-TEST_F(EndpointFeedTest, ChangesFetchedAfterALaterRevisionThanTheOwnAreNotTheWholeGap)
+TEST_F(EndpointFeedTest, ChangesAfterALaterRevisionThanTheOwnDoNotCloseTheGap)
 {
   reader_.on_read(20, start + 500ms);
   follower_.on_fetched(reader_.view(start + 500ms), 12, start + 500ms);
@@ -166,10 +167,10 @@
 
 TEST_F(EndpointFeedTest, InAFleetOnlyTheReadersRead)
 {
-  // Each daemon hears the one that read last within 400 ms.
+  // Each daemon gets the view of the last reader within 400 ms.
   std::vector<endpoint_feed> fleet;
   for (std::uint64_t seed = 0; seed < 20; ++seed) {
-    fleet.emplace_back(endpoint_feed_options{.notice = 2s, .seed = seed});
+    fleet.emplace_back(endpoint_feed_options{.max_leaving_delay = 2s, .seed = seed});
     fleet.back().set_reader(seed < 3);
     fleet.back().on_read(1, start);
   }
@@ -179,7 +180,7 @@
   for (int step = 1; step <= 600; ++step) {
     const auto now = start + step * 100ms;
     for (std::size_t i = 0; i < fleet.size(); ++i) {
-      if (fleet[i].is_due(now)) {
+      if (fleet[i].is_read_due(now)) {
         fleet[i].on_read(1, now);
         latest = &fleet[i];
         ++reads;
@@ -192,22 +193,22 @@
       }
     }
   }
-  EXPECT_LE(reads, 60 * 5); // alone each would read about once a second: 1,200
+  EXPECT_LE(reads, 60 * 5); // without gossip each would read about once a second: 1,200
   EXPECT_GE(reads, 60);
   EXPECT_LE(reads_of_others, 10);
 }
 
-// When hundreds of endpoints leave at once, each entry changes with every heartbeat, more often
-// than answers of the store hold. A daemon that took each answer for all there was believed for
-// seconds that its view was fresh, and so did all its peers: of 3,002 endpoints one got calls 4.5 s
-// after it had said that it leaves.
-TEST_F(EndpointFeedTest, AnAnswerThatMayBeAPartMakesTheViewNoFresher)
+// When hundreds of endpoints leave at once, each entry changes with every heartbeat, and there are
+// more changes than answers of the store can contain. If a daemon takes each answer for complete,
+// it believes for seconds that its view is fresh, and so do all its peers: with 3,002 endpoints,
+// one got calls 4.5 s after it had stated that it was leaving.
+TEST_F(EndpointFeedTest, APartialReadDoesNotMakeTheViewFresher)
 {
   reader_.on_read(10, start);
-  const auto due = reader_.due_at();
-  reader_.on_partly_read(15);
+  const auto due = reader_.next_read_at();
+  reader_.on_partial_read(15);
   EXPECT_EQ(reader_.revision(), 15U);
-  EXPECT_EQ(reader_.due_at(), due);
+  EXPECT_EQ(reader_.next_read_at(), due);
   EXPECT_EQ(reader_.view(start + 300ms).age, 300ms);
 }
 
