--- a/test/gateway/endpoint_pool_test.cc
+++ b/test/gateway/endpoint_pool_test.cc
@@ -52,14 +52,14 @@
   endpoint_pool pool_{{.zone = availability_zone("z"), .seed = 1}};
 };
 
-TEST_F(EndpointPoolTest, ServesWhatIsListed)
+TEST_F(EndpointPoolTest, ServesListedEndpoints)
 {
   list({record("a", 1), record("b", 2)}, 5);
   EXPECT_EQ(pool_.serving("chat").size(), 2U);
   EXPECT_TRUE(pool_.serving("other").empty());
 }
 
-TEST_F(EndpointPoolTest, ForgetsAnEndpointSomeTimeAfterItsDeparture)
+TEST_F(EndpointPoolTest, RemovesAnEndpointSomeTimeAfterItsDeparture)
 {
   list({record("a", 1), record("b", 1)}, 5);
   pool_.on_departure({.id = endpoint_id("a"), .revision = 6}, start);
@@ -71,7 +71,7 @@
   EXPECT_EQ(pool_.serving("chat").size(), 1U);
 }
 
-TEST_F(EndpointPoolTest, SaysThatItHoldsRemovalsUntilTheyAreCarriedOut)
+TEST_F(EndpointPoolTest, ReportsHeldRemovalsUntilTheyAreCarriedOut)
 {
   list({record("a", 1)}, 5);
   EXPECT_FALSE(pool_.holds_removals(start));
@@ -83,14 +83,14 @@
   EXPECT_FALSE(pool_.holds_removals(start + 1s));
 }
 
-TEST_F(EndpointPoolTest, ALeavingEndpointGetsNoNewWork)
+TEST_F(EndpointPoolTest, ALeavingEndpointGetsNoNewRequests)
 {
   list({record("a", 1)}, 5);
   pool_.apply(record("a", 6, true), start);
   EXPECT_FALSE(choose());
 }
 
-TEST_F(EndpointPoolTest, AStaleListBringsNoLeavingEndpointBack)
+TEST_F(EndpointPoolTest, AStaleListDoesNotBringALeavingEndpointBack)
 {
   list({record("a", 1)}, 5);
   pool_.apply(record("a", 6, true), start);
@@ -98,7 +98,7 @@
   EXPECT_TRUE(pool_.serving("chat").empty());
 }
 
-TEST_F(EndpointPoolTest, ARemovedEndpointStaysAwayFromAStaleList)
+TEST_F(EndpointPoolTest, AStaleListDoesNotBringARemovedEndpointBack)
 {
   list({record("a", 1)}, 5);
   pool_.remove({.id = endpoint_id("a"), .revision = 8}, start);
@@ -106,13 +106,13 @@
   EXPECT_TRUE(pool_.serving("chat").empty());
 }
 
-TEST_F(EndpointPoolTest, LeavesOutAnEndpointAtWhichTwoPeersFindNobody)
+TEST_F(EndpointPoolTest, EjectsAnEndpointThatTwoPeersCannotReach)
 {
   list({record("a", 1), record("b", 1)}, 5);
-  const endpoint_work_map told = {{endpoint_id("a"), {.unreachable = 1}}};
-  pool_.on_peer_work(daemon_id("p"), told, start);
-  EXPECT_TRUE(choose({endpoint_id("b")})); // one alone may be cut off
-  pool_.on_peer_work(daemon_id("q"), told, start);
+  const endpoint_work_map report = {{endpoint_id("a"), {.unreachable = 1}}};
+  pool_.on_peer_work(daemon_id("p"), report, start);
+  EXPECT_TRUE(choose({endpoint_id("b")})); // a single peer may itself be disconnected
+  pool_.on_peer_work(daemon_id("q"), report, start);
   for (int i = 0; i < 8; ++i) {
     EXPECT_EQ(choose()->id, endpoint_id("b"));
   }
@@ -121,34 +121,34 @@
 TEST_F(EndpointPoolTest, UsesAnEndpointAgainOncePeersReachIt)
 {
   list({record("a", 1), record("b", 1)}, 5);
-  const endpoint_work_map told = {{endpoint_id("a"), {.unreachable = 1}}};
-  pool_.on_peer_work(daemon_id("p"), told, start);
-  pool_.on_peer_work(daemon_id("q"), told, start);
+  const endpoint_work_map report = {{endpoint_id("a"), {.unreachable = 1}}};
+  pool_.on_peer_work(daemon_id("p"), report, start);
+  pool_.on_peer_work(daemon_id("q"), report, start);
   pool_.on_peer_work(daemon_id("q"), {}, start);
   EXPECT_TRUE(choose({endpoint_id("b")}));
 }
 
-TEST_F(EndpointPoolTest, UsesAllWherePeersFindNobodyAtMostOfThem)
+TEST_F(EndpointPoolTest, UsesAllEndpointsIfPeersCannotReachMostOfThem)
 {
   list({record("a", 1), record("b", 1), record("c", 1)}, 5);
-  const endpoint_work_map told = {{endpoint_id("a"), {.unreachable = 1}},
-                                  {endpoint_id("b"), {.unreachable = 1}}};
-  pool_.on_peer_work(daemon_id("p"), told, start);
-  pool_.on_peer_work(daemon_id("q"), told, start);
+  const endpoint_work_map report = {{endpoint_id("a"), {.unreachable = 1}},
+                                    {endpoint_id("b"), {.unreachable = 1}}};
+  pool_.on_peer_work(daemon_id("p"), report, start);
+  pool_.on_peer_work(daemon_id("q"), report, start);
   EXPECT_TRUE(choose({endpoint_id("c")}));
 }
 
-TEST_F(EndpointPoolTest, TellsPeersWhereItFindsNobodyWhileItLeavesThatOut)
+TEST_F(EndpointPoolTest, ReportsUnreachableEndpointsToPeersWhileTheyAreEjected)
 {
   list({record("a", 1), record("b", 1)}, 5);
-  pool_.on_trouble(endpoint_id("a"), endpoint_trouble::unreachable, start);
-  pool_.on_trouble(endpoint_id("b"), endpoint_trouble::broken, start);
+  pool_.on_failure(endpoint_id("a"), endpoint_failure::unreachable, start);
+  pool_.on_failure(endpoint_id("b"), endpoint_failure::broken, start);
   const endpoint_work_map expected = {{endpoint_id("a"), {.unreachable = 1}}};
-  EXPECT_EQ(pool_.work_to_tell(start + 100ms), expected);
-  EXPECT_TRUE(pool_.work_to_tell(start + 500ms).empty());
+  EXPECT_EQ(pool_.work_to_gossip(start + 100ms), expected);
+  EXPECT_TRUE(pool_.work_to_gossip(start + 500ms).empty());
 }
 
-// The process of an endpoint, by when it started.
+// A record with the start time of the endpoint's process.
 endpoint_record record_of(const char* id, std::uint64_t revision, std::uint64_t incarnation)
 {
   auto out = record(id, revision);
@@ -156,7 +156,7 @@
   return out;
 }
 
-TEST_F(EndpointPoolTest, WorkOfPeersAtTheProcessBeforeDoesNotCountForARestartedEndpoint)
+TEST_F(EndpointPoolTest, WorkOfPeersAtThePreviousProcessDoesNotCountAfterARestart)
 {
   list({record_of("a", 1, 100), record_of("b", 1, 100)}, 5);
   pool_.on_peer_work(daemon_id("p"),
@@ -170,19 +170,19 @@
   EXPECT_EQ(choose()->id, endpoint_id("a"));
 }
 
-TEST_F(EndpointPoolTest, TheEndOfAnOldCallIsNotCountedForARestartedEndpoint)
+TEST_F(EndpointPoolTest, TheEndOfACallAtThePreviousProcessIsNotCountedAfterARestart)
 {
   list({record_of("a", 1, 100)}, 5);
   const auto old = choose();
   pool_.apply(record_of("a", 6, 200), start);
-  const auto young = choose();
+  const auto current = choose();
   pool_.on_finished(old->work, 0, start);
   EXPECT_EQ(pool_.own_work().at(endpoint_id("a")).waiting, 1U);
-  pool_.on_finished(young->work, 0, start);
+  pool_.on_finished(current->work, 0, start);
   EXPECT_TRUE(pool_.own_work().empty());
 }
 
-TEST_F(EndpointPoolTest, ACallAtTheProcessBeforeIsKnownAsLost)
+TEST_F(EndpointPoolTest, ACallAtThePreviousProcessIsKnownAsLost)
 {
   list({record_of("a", 1, 100)}, 5);
   const auto chosen = choose();
@@ -191,10 +191,10 @@
   EXPECT_TRUE(pool_.has_restarted(*chosen));
 }
 
-TEST_F(EndpointPoolTest, TroubleOfTheProcessBeforeLeavesARestartedEndpointIn)
+TEST_F(EndpointPoolTest, FailuresOfThePreviousProcessDoNotEjectARestartedEndpoint)
 {
   list({record_of("a", 1, 100), record_of("b", 1, 100)}, 5);
-  pool_.on_trouble(endpoint_id("a"), endpoint_trouble::broken, start);
+  pool_.on_failure(endpoint_id("a"), endpoint_failure::broken, start);
   pool_.apply(record_of("a", 6, 200), start);
   EXPECT_EQ(choose({endpoint_id("b")})->id, endpoint_id("a"));
 }
@@ -207,15 +207,15 @@
   EXPECT_TRUE(choose());
 }
 
-TEST_F(EndpointPoolTest, ALateEntryOfTheProcessBeforeChangesNothing)
+TEST_F(EndpointPoolTest, ALateEntryOfThePreviousProcessChangesNothing)
 {
   list({record_of("a", 6, 200)}, 6);
   const auto chosen = choose();
-  pool_.apply(record_of("a", 4, 300), start); // its clock was ahead
+  pool_.apply(record_of("a", 4, 300), start); // its clock was fast
   EXPECT_FALSE(pool_.has_restarted(*chosen));
 }
 
-TEST_F(EndpointPoolTest, AnEntryThatDoesNotTellItsStartIsNoRestart)
+TEST_F(EndpointPoolTest, AnEntryWithoutAStartTimeIsNotARestart)
 {
   list({record_of("a", 1, 100)}, 5);
   const auto chosen = choose();
@@ -223,7 +223,7 @@
   EXPECT_FALSE(pool_.has_restarted(*chosen));
 }
 
-TEST_F(EndpointPoolTest, ALaterEntryRevivesAnEndpointThatHadLapsed)
+TEST_F(EndpointPoolTest, ALaterEntryRestoresAnEndpointThatHadExpired)
 {
   list({record("a", 1)}, 5);
   pool_.remove({.id = endpoint_id("a"), .revision = 8}, start);
@@ -231,7 +231,7 @@
   EXPECT_TRUE(choose());
 }
 
-TEST_F(EndpointPoolTest, ALaterEntryRevivesAnEndpointThatAPeerCalledGone)
+TEST_F(EndpointPoolTest, ALaterEntryRestoresAnEndpointThatAPeerReportedAsDeparted)
 {
   list({record("a", 1)}, 5);
   pool_.on_departure({.id = endpoint_id("a"), .revision = 8}, start);
@@ -240,14 +240,14 @@
   EXPECT_TRUE(choose());
 }
 
-TEST_F(EndpointPoolTest, APeersOldWordDoesNotEndANewerEntry)
+TEST_F(EndpointPoolTest, AnOldDepartureReportDoesNotRemoveANewerEntry)
 {
   list({record("a", 9)}, 9);
   pool_.on_departure({.id = endpoint_id("a"), .revision = 8}, start);
   EXPECT_TRUE(choose());
 }
 
-TEST_F(EndpointPoolTest, KeepsAVanishedEntryWhileRemovalsAreOnHold)
+TEST_F(EndpointPoolTest, KeepsARemovedEntryWhileRemovalsAreOnHold)
 {
   list({record("a", 1)}, 5);
   pool_.hold_removals_until(start + 2s);
@@ -257,7 +257,7 @@
   EXPECT_FALSE(choose());
 }
 
-TEST_F(EndpointPoolTest, AnEntryThatComesBackInTimeIsKept)
+TEST_F(EndpointPoolTest, AnEntryThatReturnsDuringTheHoldIsKept)
 {
   list({record("a", 1)}, 5);
   pool_.hold_removals_until(start + 2s);
@@ -267,7 +267,7 @@
   EXPECT_TRUE(choose());
 }
 
-TEST_F(EndpointPoolTest, TellsDeparturesForAWhile)
+TEST_F(EndpointPoolTest, GossipsDeparturesForALimitedTime)
 {
   list({record("a", 1)}, 5);
   pool_.remove({.id = endpoint_id("a"), .revision = 8}, start);
@@ -282,54 +282,54 @@
   EXPECT_FALSE(choose({endpoint_id("a"), endpoint_id("b")}));
 }
 
-TEST_F(EndpointPoolTest, AvoidsAnEndpointInTrouble)
+TEST_F(EndpointPoolTest, AvoidsAnEjectedEndpoint)
 {
   list({record("a", 1), record("b", 1)}, 5);
-  pool_.on_trouble(endpoint_id("a"), endpoint_trouble::broken, start);
+  pool_.on_failure(endpoint_id("a"), endpoint_failure::broken, start);
   for (int i = 0; i < 10; ++i) {
     EXPECT_EQ(choose()->id, endpoint_id("b"));
   }
 }
 
-TEST_F(EndpointPoolTest, ASuccessOfAnOlderAttemptDoesNotBringAnEndpointBack)
+TEST_F(EndpointPoolTest, ASuccessDoesNotEndAnEjection)
 {
   list({record("a", 1), record("b", 1)}, 5);
-  pool_.on_trouble(endpoint_id("a"), endpoint_trouble::broken, start);
+  pool_.on_failure(endpoint_id("a"), endpoint_failure::broken, start);
   pool_.on_success(endpoint_id("a"));
   EXPECT_EQ(choose()->id, endpoint_id("b"));
 }
 
-TEST_F(EndpointPoolTest, LeavesOutAnEndpointThatFailsHalfOfItsCalls)
+TEST_F(EndpointPoolTest, EjectsAnEndpointThatFailsHalfOfItsCalls)
 {
   list({record("a", 1), record("b", 1)}, 5);
   for (int i = 0; i < 10; ++i) {
-    pool_.on_trouble(endpoint_id("a"), endpoint_trouble::failed, start);
+    pool_.on_failure(endpoint_id("a"), endpoint_failure::failed, start);
     pool_.on_success(endpoint_id("a"));
   }
   EXPECT_EQ(choose()->id, endpoint_id("b"));
 }
 
-TEST_F(EndpointPoolTest, KeepsAnEndpointThatSeldomFails)
+TEST_F(EndpointPoolTest, DoesNotEjectAnEndpointThatSeldomFails)
 {
   list({record("a", 1)}, 5);
   list({record("a", 1), record("b", 1)}, 6);
   for (int i = 0; i < 70; ++i) {
     if (i % 7 == 0) {
-      pool_.on_trouble(endpoint_id("a"), endpoint_trouble::failed, start);
+      pool_.on_failure(endpoint_id("a"), endpoint_failure::failed, start);
     } else {
       pool_.on_success(endpoint_id("a"));
     }
   }
   EXPECT_EQ(choose({endpoint_id("b")})->id, endpoint_id("a"));
-  pool_.on_trouble(endpoint_id("b"), endpoint_trouble::broken, start);
+  pool_.on_failure(endpoint_id("b"), endpoint_failure::broken, start);
   EXPECT_EQ(choose()->id, endpoint_id("a"));
 }
 
-TEST_F(EndpointPoolTest, UsesAllEndpointsWhileMostAreInTrouble)
+TEST_F(EndpointPoolTest, UsesAllEndpointsWhileMostAreEjected)
 {
   list({record("a", 1), record("b", 1), record("c", 1)}, 5);
-  pool_.on_trouble(endpoint_id("a"), endpoint_trouble::broken, start);
-  pool_.on_trouble(endpoint_id("b"), endpoint_trouble::broken, start);
+  pool_.on_failure(endpoint_id("a"), endpoint_failure::broken, start);
+  pool_.on_failure(endpoint_id("b"), endpoint_failure::broken, start);
   std::set<endpoint_id> chosen;
   for (int i = 0; i < 12; ++i) {
     chosen.insert(choose()->id);
@@ -337,10 +337,10 @@
   EXPECT_EQ(chosen.size(), 3U);
 }
 
-TEST_F(EndpointPoolTest, TriesAnEndpointInTroubleRatherThanNone)
+TEST_F(EndpointPoolTest, UsesAnEjectedEndpointRatherThanNone)
 {
   list({record("a", 1)}, 5);
-  pool_.on_trouble(endpoint_id("a"), endpoint_trouble::broken, start);
+  pool_.on_failure(endpoint_id("a"), endpoint_failure::broken, start);
   EXPECT_TRUE(choose());
 }
 
@@ -369,7 +369,7 @@
   EXPECT_EQ(choose()->id, endpoint_id("b"));
 }
 
-// A peer's one prompt of 40,000 tokens holds an endpoint up longer than another's three small ones.
+// One waiting prompt of 40,000 tokens delays an endpoint more than three small ones.
 TEST_F(EndpointPoolTest, AvoidsTheEndpointWhereAPeersLongPromptWaits)
 {
   list({record("a", 1), record("b", 1)}, 5);
@@ -401,7 +401,7 @@
   EXPECT_EQ(pool_.busy_endpoints("chat", start + 10s), 0);
 }
 
-TEST_F(EndpointPoolTest, DaemonsThatKnowNothingOfEachOtherGatherASharedPrefixAtOneEndpoint)
+TEST_F(EndpointPoolTest, IndependentDaemonsSendASharedPrefixToOneEndpoint)
 {
   std::vector<endpoint_record> all;
   for (const char* id : {"a", "b", "c", "d", "e", "f"}) {
@@ -423,7 +423,7 @@
   EXPECT_EQ(chosen.size(), 1U);
 }
 
-TEST_F(EndpointPoolTest, ABusyHomeOfASharedPrefixIsPassedOver)
+TEST_F(EndpointPoolTest, ABusyAffinityEndpointIsPassedOver)
 {
   list({record("a", 1), record("b", 1)}, 5);
   std::set<endpoint_id> chosen;
@@ -433,8 +433,8 @@
   EXPECT_EQ(chosen.size(), 2U);
 }
 
-// Endpoints that a daemon believes to be busy two seconds after it began to send `prompts` prompts
-// of `tokens` tokens each, evenly.
+// Number of endpoints that a daemon estimates to be busy two seconds after it started to send
+// `prompts` prompts of `tokens` tokens each, evenly spread.
 double busy_after_two_seconds(int prompts, std::uint64_t tokens)
 {
   constexpr int rounds = 4;
@@ -454,12 +454,12 @@
   return pool.busy_endpoints("chat", start + 2s);
 }
 
-TEST_F(EndpointPoolTest, ManyPromptsShowTheirWorkSoonerThanFew)
+TEST_F(EndpointPoolTest, ManySmallPromptsRaiseTheEstimateSoonerThanFewLargeOnes)
 {
   EXPECT_GT(busy_after_two_seconds(1'200, 2'000), 1.3 * busy_after_two_seconds(12, 200'000));
 }
 
-// One endpoint is left and the whole fleet waits there.
+// A pool with a single endpoint, at which a peer has a long queue.
 class OverloadedPoolTest : public EndpointPoolTest {
  protected:
   OverloadedPoolTest()
@@ -471,7 +471,7 @@
     pool_.refresh_loads(start);
   }
 
-  pool_choice wish(std::uint64_t prompt_tokens, bool may_be_refused = true)
+  pool_choice choose_for(std::uint64_t prompt_tokens, bool may_be_refused = true)
   {
     return pool_.choose({.service = "chat",
                          .size = token_size{.prompt = prompt_tokens, .output = 10},
@@ -482,9 +482,9 @@
   }
 };
 
-TEST_F(OverloadedPoolTest, RefusesAtOnceWhatCannotBeServedInTimeAndSaysWhenThereIsRoom)
+TEST_F(OverloadedPoolTest, RefusesCallsThatWouldMissTheirDeadlineAndSaysWhenToRetry)
 {
-  const auto made = wish(1'000);
+  const auto made = choose_for(1'000);
   const auto* none = std::get_if<routing::no_endpoint>(&made);
   ASSERT_TRUE(none);
   EXPECT_EQ(none->reason, routing::no_endpoint_reason::deadline_unreachable);
@@ -492,18 +492,18 @@
   EXPECT_TRUE(pool_.own_work().empty());
 }
 
-TEST_F(OverloadedPoolTest, CountsWhatItRefusesAsDemand)
+TEST_F(OverloadedPoolTest, CountsRefusedCallsAsDemand)
 {
   for (int i = 0; i < 100; ++i) {
-    static_cast<void>(wish(1'000));
+    static_cast<void>(choose_for(1'000));
   }
   pool_.refresh_loads(start + 500ms);
   EXPECT_GT(pool_.busy_endpoints("chat", start + 500ms), 0.5);
 }
 
-TEST_F(OverloadedPoolTest, SendsWhatMayHaveRunAlready)
+TEST_F(OverloadedPoolTest, SendsCallsThatMayHaveRunAlready)
 {
-  EXPECT_TRUE(endpoint_of(wish(1'000, false)));
+  EXPECT_TRUE(endpoint_of(choose_for(1'000, false)));
 }
 
 TEST_F(OverloadedPoolTest, ServesAgainOnceTheQueueHasDrained)
@@ -511,13 +511,13 @@
   pool_.on_peer_work(daemon_id("p"), {{endpoint_id("a"), {.waiting = 1, .waiting_tokens = 1'000}}},
                      start);
   pool_.refresh_loads(start);
-  EXPECT_TRUE(endpoint_of(wish(1'000)));
+  EXPECT_TRUE(endpoint_of(choose_for(1'000)));
 }
 
-// Rates are estimates: a prompt that looks too large for any endpoint is tried all the same.
+// Rates are estimates: a prompt that looks too large for any endpoint is sent all the same.
 TEST_F(OverloadedPoolTest, DoesNotRefusePromptsForTheirSize)
 {
-  EXPECT_TRUE(endpoint_of(wish(400'000)));
+  EXPECT_TRUE(endpoint_of(choose_for(400'000)));
 }
 
 class PrefixSourceTest : public EndpointPoolTest {
@@ -544,9 +544,9 @@
   EXPECT_NE(*chosen->prefix_source, chosen->address);
 }
 
-// A zone's endpoints are taken away one after the other, and the work goes to the one that is left:
-// a source that is gone before it has answered would hold every prompt up.
-TEST_F(PrefixSourceTest, IsNoEndpointThatLeaves)
+// The endpoints of a zone are reclaimed one after the other, and the load moves to the remaining
+// one: a source that terminates before it has answered would delay every prompt.
+TEST_F(PrefixSourceTest, IsNotALeavingEndpoint)
 {
   list({at("a", "10.0.0.1"), at("b", "10.0.0.2")}, 5);
   EXPECT_TRUE(source());
@@ -554,9 +554,10 @@
   EXPECT_FALSE(source());
 }
 
-// A zone comes back with empty engines, which become the homes of a part of the prefixes. Each
-// prompt that goes to one of them can copy its prefix from the engine that has read it before.
-TEST_F(PrefixSourceTest, HasReadThePrefixesThatMoveToNewEndpoints)
+// A zone returns with engines with empty caches, which become affinity endpoints of a part of the
+// prefixes. Each prompt sent to one of them can copy its prefix from the engine that processed it
+// before.
+TEST_F(PrefixSourceTest, HasProcessedThePrefixesThatMoveToNewEndpoints)
 {
   constexpr std::uint64_t prefixes = 60;
   list({at("c", "10.0.0.3"), at("b", "10.0.0.2"), at("a", "10.0.0.1")}, 5);
@@ -583,12 +584,12 @@
   EXPECT_GE(moved, 10);
 }
 
-TEST_F(PrefixSourceTest, IsNoEndpointInTrouble)
+TEST_F(PrefixSourceTest, IsNotAnEjectedEndpoint)
 {
   list({at("a", "10.0.0.1"), at("b", "10.0.0.2"), at("c", "10.0.0.3")}, 5);
-  pool_.on_trouble(endpoint_id("b"), endpoint_trouble::broken, start);
+  pool_.on_failure(endpoint_id("b"), endpoint_failure::broken, start);
   const auto found = source({endpoint_id("a")});
-  EXPECT_FALSE(found) << "c is chosen, a was tried, b is in trouble";
+  EXPECT_FALSE(found) << "c is chosen, a was tried, b is ejected";
 }
 
 } // namespace
--- a/test/gateway/endpoint_statement_test.cc
+++ b/test/gateway/endpoint_statement_test.cc
@@ -9,45 +9,45 @@
 
 using namespace std::chrono_literals;
 
-TEST(EndpointStatementTest, SaysNothingByItself)
+TEST(EndpointStatementTest, IsEmptyWithoutFields)
 {
-  EXPECT_EQ(believed({}), endpoint_terms{});
+  EXPECT_EQ(validated_terms({}), endpoint_terms{});
 }
 
-TEST(EndpointStatementTest, IsBelievedWhereItMakesSense)
+TEST(EndpointStatementTest, KeepsValidValues)
 {
   const endpoint_terms terms{.leaving = true, .request_rate = 1.5, .pause = 2'500ms};
-  EXPECT_EQ(believed({.leaving = {{.text = "1", .value = true}},
-                      .request_rate = {{.text = "1.5", .value = 1.5}},
-                      .pause = {{.text = "2.5", .value = 2.5}}}),
+  EXPECT_EQ(validated_terms({.leaving = {{.text = "1", .value = true}},
+                             .request_rate = {{.text = "1.5", .value = 1.5}},
+                             .pause = {{.text = "2.5", .value = 2.5}}}),
             terms);
 }
 
-TEST(EndpointStatementTest, IsNotBelievedWhereItCannotBeRead)
+TEST(EndpointStatementTest, RejectsUnreadableValues)
 {
-  const auto terms = believed({.leaving = {{.text = "maybe"}},
-                               .request_rate = {{.text = "many"}},
-                               .pause = {{.text = "a while"}}});
+  const auto terms = validated_terms({.leaving = {{.text = "maybe"}},
+                                      .request_rate = {{.text = "many"}},
+                                      .pause = {{.text = "a while"}}});
   const std::vector<std::string> rejected = {"leaving: maybe", "request rate: many",
                                              "pause: a while"};
   EXPECT_EQ(terms, (endpoint_terms{.rejected = rejected}));
 }
 
-TEST(EndpointStatementTest, IsNotBelievedOutOfAllBounds)
+TEST(EndpointStatementTest, RejectsValuesOutOfRange)
 {
   for (const double figure : {-1.0, 1e9, std::numeric_limits<double>::infinity(),
                               std::numeric_limits<double>::quiet_NaN()}) {
-    const auto terms = believed({.request_rate = {{.text = "x", .value = figure}},
-                                 .pause = {{.text = "x", .value = figure}}});
+    const auto terms = validated_terms({.request_rate = {{.text = "x", .value = figure}},
+                                        .pause = {{.text = "x", .value = figure}}});
     EXPECT_EQ(terms.request_rate, std::nullopt) << figure;
     EXPECT_EQ(terms.pause, std::nullopt) << figure;
     EXPECT_EQ(terms.rejected.size(), 2U) << figure;
   }
 }
 
-TEST(EndpointStatementTest, MayNameARateOfZero)
+TEST(EndpointStatementTest, AcceptsARateOfZero)
 {
-  const auto terms = believed({.request_rate = {{.text = "0", .value = 0}}});
+  const auto terms = validated_terms({.request_rate = {{.text = "0", .value = 0}}});
   EXPECT_EQ(terms, (endpoint_terms{.request_rate = 0}));
 }
 
--- a/test/gateway/event_splitter_test.cc
+++ b/test/gateway/event_splitter_test.cc
@@ -24,7 +24,7 @@
   EXPECT_EQ(splitter.pending_bytes(), 0U);
 }
 
-TEST(EventSplitterTest, TakesLinesThatEndInCarriageReturnToo)
+TEST(EventSplitterTest, AcceptsLinesThatEndInCarriageReturn)
 {
   event_splitter splitter;
   const auto events = splitter.feed("id: 1\r\ndata: a\r\n\r\n");
@@ -38,7 +38,7 @@
   EXPECT_EQ(splitter.feed("id: x\ndata: a\n\n").at(0).id, std::nullopt);
 }
 
-RC_GTEST_PROP(EventSplitterPropertyTest, CutsTheSameEventsFromAnyChunks, ())
+RC_GTEST_PROP(EventSplitterPropertyTest, SplitsTheSameEventsFromAnyChunks, ())
 {
   const std::string text = "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\ndata: c\n\n";
   event_splitter whole;
--- a/test/gateway/plain_choice_test.cc
+++ b/test/gateway/plain_choice_test.cc
@@ -12,18 +12,18 @@
  protected:
   std::optional<std::size_t> choose(const std::vector<plain_candidate>& candidates)
   {
-    return choose_plain(candidates, rng_);
+    return choose_least_loaded(candidates, rng_);
   }
 
   std::mt19937_64 rng_{1};
 };
 
-TEST_F(PlainChoiceTest, TakesTheEndpointWithTheFewestOwnCalls)
+TEST_F(PlainChoiceTest, ChoosesTheEndpointWithTheFewestOwnCalls)
 {
   EXPECT_EQ(choose({{.own_calls = 2, .places = 6}, {.own_calls = 1, .places = 6}}), 1U);
 }
 
-TEST_F(PlainChoiceTest, CountsCallsByPlace)
+TEST_F(PlainChoiceTest, CountsCallsPerPlace)
 {
   EXPECT_EQ(choose({{.own_calls = 2, .places = 10}, {.own_calls = 1, .places = 2}}), 0U);
 }
@@ -41,12 +41,12 @@
   }
 }
 
-TEST_F(PlainChoiceTest, TakesAnEndpointThatDeclaresNoPlaces)
+TEST_F(PlainChoiceTest, ChoosesAnEndpointThatDeclaresNoPlaces)
 {
   EXPECT_EQ(choose({{.places = 0}}), 0U);
 }
 
-TEST_F(PlainChoiceTest, FindsNothingAmongNone)
+TEST_F(PlainChoiceTest, ReturnsNothingWithoutCandidates)
 {
   EXPECT_FALSE(choose({}));
 }
--- a/test/gateway/plain_service_replay_test.cc
+++ b/test/gateway/plain_service_replay_test.cc
@@ -1,5 +1,6 @@
-// Replays the load of a plain service with few places: the pools of many daemons, whose news of one
-// another's work is late, before endpoints that turn calls away when their queue is full.
+// Simulates the load of a plain service with few places: the endpoint pools of many daemons, which
+// get each other's work reports with a delay, and endpoints that refuse calls when their queue is
+// full.
 
 #include <map>
 #include <memory>
@@ -21,18 +22,19 @@
 struct replay_options {
   std::size_t daemons = 1;
   std::size_t endpoints = 1;
-  double calls_per_second = 0; // of all daemons
+  double calls_per_second = 0; // from all daemons together
   std::uint32_t places = 6;
-  std::size_t queue = 24;                       // calls that an endpoint keeps waiting
-  std::chrono::milliseconds call_time{60};      // mean
-  std::chrono::milliseconds report_period{400}; // of each daemon to all others
+  std::size_t queue = 24;                  // maximum length of an endpoint's queue
+  std::chrono::milliseconds call_time{60}; // mean duration of a call
+  std::chrono::milliseconds report_period{
+      400}; // of the work reports from each daemon to all others
   std::chrono::milliseconds length{20'000};
 };
 
 struct replay_result {
   int calls = 0;
-  int turned_away = 0;
-  int waited = 0; // found no free place
+  int refused = 0;
+  int waited = 0; // calls that found no free place
 };
 
 class plain_service {
@@ -98,13 +100,13 @@
     ++result_.calls;
     auto& open = open_[chosen->id];
     if (open >= options_.places + options_.queue) {
-      ++result_.turned_away;
+      ++result_.refused;
       daemons_[daemon]->on_finished(chosen->work, 0, now);
       return;
     }
     result_.waited += open >= options_.places ? 1 : 0;
     ++open;
-    // With a queue before it a call takes the turns of those ahead as well.
+    // If there is a queue, a call also waits for the calls ahead of it.
     const double turns = 1 + static_cast<double>(open) / options_.places;
     std::exponential_distribution<double> time(
         1 / std::chrono::duration<double>(options_.call_time).count());
@@ -141,25 +143,25 @@
 
   replay_options options_;
   std::vector<std::unique_ptr<endpoint_pool>> daemons_;
-  std::map<endpoint_id, std::size_t> open_; // calls running and waiting
+  std::map<endpoint_id, std::size_t> open_; // calls, running and waiting
   std::priority_queue<running_call, std::vector<running_call>, std::greater<>> running_;
   std::mt19937_64 rng_{7};
   replay_result result_;
 };
 
-TEST(PlainServiceReplayTest, EightyDaemonsBeforeFiveEndpointsOverrunNone)
+TEST(PlainServiceReplayTest, EightyDaemonsDoNotOverloadFiveEndpoints)
 {
   const auto result = plain_service({.daemons = 80, .endpoints = 5, .calls_per_second = 215}).run();
   EXPECT_GT(result.calls, 4'000);
-  EXPECT_EQ(result.turned_away, 0);
+  EXPECT_EQ(result.refused, 0);
   EXPECT_LT(result.waited, result.calls / 10);
 }
 
-TEST(PlainServiceReplayTest, TwoDaemonsBeforeThreeEndpointsOverrunNone)
+TEST(PlainServiceReplayTest, TwoDaemonsDoNotOverloadThreeEndpoints)
 {
   const auto result = plain_service({.daemons = 2, .endpoints = 3, .calls_per_second = 130}).run();
   EXPECT_GT(result.calls, 2'000);
-  EXPECT_EQ(result.turned_away, 0);
+  EXPECT_EQ(result.refused, 0);
   EXPECT_LT(result.waited, result.calls / 10);
 }
 
--- a/test/gateway/rate_shares_test.cc
+++ b/test/gateway/rate_shares_test.cc
@@ -25,7 +25,7 @@
   return out;
 }
 
-// A fleet whose daemons send as soon as they may.
+// A fleet whose daemons send requests as soon as they may.
 class RateSharesTest : public testing::Test {
  protected:
   void start_fleet(int number, double rate)
@@ -39,7 +39,7 @@
     }
   }
 
-  // The daemons of `heard` hear each other, of `running`.
+  // The daemons in `heard` hear each other; `running` daemons exist in total.
   void share_among(const std::vector<daemon_id>& heard, std::size_t running)
   {
     for (const auto& id : heard) {
@@ -50,7 +50,7 @@
     }
   }
 
-  // Requests that the endpoint gets in the time.
+  // Returns the number of requests that the endpoint gets in `time`.
   int run_for(std::chrono::milliseconds time)
   {
     int sent = 0;
@@ -65,7 +65,7 @@
     return sent;
   }
 
-  [[nodiscard]] int open() const
+  [[nodiscard]] int open_count() const
   {
     return static_cast<int>(std::count_if(fleet_.begin(), fleet_.end(), [&](const auto& it) {
       return it.second.open_at(endpoint, now_) <= now_;
@@ -76,13 +76,13 @@
   mono_time now_ = start;
 };
 
-TEST_F(RateSharesTest, LetsAllThroughWhereNoRateIsNamed)
+TEST_F(RateSharesTest, DoNotLimitAnEndpointWithoutARate)
 {
   const rate_shares shares(daemon_id("d"));
   EXPECT_EQ(shares.open_at(endpoint, start), start);
 }
 
-TEST_F(RateSharesTest, LetTheWholeRateThroughOverTheFleetHoweverLarge)
+TEST_F(RateSharesTest, AddUpToTheFullRateInFleetsOfAnySize)
 {
   for (const int number : {1, 2, 6, 60, 390}) {
     for (const double rate : {0.2, 1.0, 1.6, 7.0, 40.0}) {
@@ -98,17 +98,17 @@
 {
   start_fleet(390, 1.0);
   now_ += 60s;
-  EXPECT_LE(open(), 4);
+  EXPECT_LE(open_count(), 4);
 }
 
-TEST_F(RateSharesTest, BeginWithoutARequestSavedUp)
+TEST_F(RateSharesTest, StartWithoutASavedUpRequest)
 {
   start_fleet(60, 1.0);
   EXPECT_EQ(run_for(700ms), 0);
   EXPECT_LE(run_for(3'300ms), 4);
 }
 
-TEST_F(RateSharesTest, GoOnWhereAHolderDies)
+TEST_F(RateSharesTest, KeepTheEndpointInUseWhenAHolderDies)
 {
   start_fleet(6, 1.0);
   run_for(8s);
@@ -123,7 +123,7 @@
   EXPECT_GE(run_for(30s), 24);
 }
 
-TEST_F(RateSharesTest, KeepTheRateOnBothSidesOfACutTogether)
+TEST_F(RateSharesTest, KeepTheRateInTotalOnBothSidesOfANetworkPartition)
 {
   start_fleet(6, 2.0);
   run_for(8s);
@@ -134,7 +134,7 @@
   EXPECT_LE(run_for(20s), 40 + 4);
 }
 
-TEST_F(RateSharesTest, GiveNothingToADaemonThatLeaves)
+TEST_F(RateSharesTest, GiveNothingToALeavingDaemon)
 {
   rate_shares shares(daemon_id("d"));
   shares.set_fleet({.leaving = true}, start);
@@ -142,14 +142,14 @@
   EXPECT_GT(shares.open_at(endpoint, start + 60s), start + 60s);
 }
 
-TEST_F(RateSharesTest, AskAnEndpointThatTakesNothingOnceAMinute)
+TEST_F(RateSharesTest, ProbeAnEndpointWithRateZeroOnceAMinute)
 {
   start_fleet(6, 0);
   run_for(60s);
   EXPECT_LE(run_for(120s), 2);
 }
 
-TEST_F(RateSharesTest, TellADaemonWithoutAShareWhenAnotherMaySend)
+TEST_F(RateSharesTest, GiveADaemonWithoutAShareTheNextSendTimeOfAHolder)
 {
   start_fleet(60, 2.0);
   EXPECT_TRUE(std::any_of(fleet_.begin(), fleet_.end(), [&](const auto& it) {
--- a/test/gateway/request_content_test.cc
+++ b/test/gateway/request_content_test.cc
@@ -46,14 +46,14 @@
   EXPECT_NE(content_of(hotel, request("a")), content_of(hotel, other));
 }
 
-TEST(RequestContentTest, TakesHostsThatDifferByCaseForOne)
+TEST(RequestContentTest, TreatsHostsThatDifferByCaseAsEqual)
 {
   auto other = request("a");
   other.fields.at(0).value = "Shop.Example";
   EXPECT_EQ(content_of(hotel, request("a")), content_of(hotel, other));
 }
 
-TEST(RequestContentTest, DoesNotTakePartsThatRunTogetherForOne)
+TEST(RequestContentTest, DistinguishesPartsWithEqualConcatenation)
 {
   auto one = request("a", "/b");
   one.method = "GET";
@@ -62,13 +62,13 @@
   EXPECT_NE(content_of(hotel, one), content_of(hotel, other));
 }
 
-TEST(RequestContentTest, IsReadBackFromItsText)
+TEST(RequestContentTest, IsParsedFromItsText)
 {
   const auto content = content_of(hotel, request("a"));
   EXPECT_EQ(parse_content_id(to_string(content)), content);
 }
 
-TEST(RequestContentTest, IsNotReadFromOtherText)
+TEST(RequestContentTest, IsNotParsedFromOtherText)
 {
   EXPECT_EQ(parse_content_id(""), std::nullopt);
   EXPECT_EQ(parse_content_id(std::string(32, 'g')), std::nullopt);
--- a/test/gateway/return_time_test.cc
+++ b/test/gateway/return_time_test.cc
@@ -16,30 +16,30 @@
  protected:
   mono_time at(std::optional<mono_time> open_at, int rank)
   {
-    return return_time({.now = start, .open_at = open_at, .rank = rank}, rng_);
+    return retry_time({.now = start, .open_at = open_at, .rank = rank}, rng_);
   }
 
   std::mt19937_64 rng_{1};
 };
 
-TEST_F(ReturnTimeTest, IsNotBeforeThereIsRoom)
+TEST_F(ReturnTimeTest, IsNotBeforeCapacityIsAvailable)
 {
   for (int i = 0; i < 100; ++i) {
     EXPECT_GE(at(start + 800ms, i % 4), start + 800ms);
   }
 }
 
-TEST_F(ReturnTimeTest, IsLaterThanNowThoughTheTimeHasPassed)
+TEST_F(ReturnTimeTest, IsInTheFutureEvenIfOpenAtHasPassed)
 {
   EXPECT_GT(at(start - 5s, 0), start);
 }
 
-TEST_F(ReturnTimeTest, IsSoonWhereNothingIsKnown)
+TEST_F(ReturnTimeTest, IsSoonIfOpenAtIsUnknown)
 {
   EXPECT_LE(at(std::nullopt, 0), start + 400ms);
 }
 
-TEST_F(ReturnTimeTest, LetsTheMoreUrgentComeFirst)
+TEST_F(ReturnTimeTest, LetsMoreUrgentRanksReturnFirst)
 {
   for (int i = 0; i < 100; ++i) {
     EXPECT_LT(at(start + 1s, 0), at(start + 1s, 1));
@@ -47,14 +47,14 @@
   }
 }
 
-TEST_F(ReturnTimeTest, TakesAnOddRankForTheNearestOne)
+TEST_F(ReturnTimeTest, ClampsRanksOutOfRange)
 {
   EXPECT_LT(at(start + 1s, -7), start + 1'501ms);
   EXPECT_LE(at(start + 1s, 1'000'000), start + 3s);
 }
 
-// 600 calls of three ranks are refused in one moment, with room in a second.
-TEST_F(ReturnTimeTest, ACrowdThatWasRefusedTogetherDoesNotReturnTogether)
+// 600 calls of three ranks are refused at the same moment; capacity is available in a second.
+TEST_F(ReturnTimeTest, CallsRefusedTogetherDoNotReturnTogether)
 {
   constexpr int calls = 600;
   std::vector<mono_time> returns;
--- a/test/gateway/shared_prefix_test.cc
+++ b/test/gateway/shared_prefix_test.cc
@@ -18,7 +18,7 @@
   EXPECT_EQ(split_prompt(one).shared_key, split_prompt(two).shared_key);
 }
 
-TEST(SplitPromptTest, GivesOtherKeysAfterOtherParts)
+TEST(SplitPromptTest, GivesDifferentKeysAfterDifferentParts)
 {
   const std::vector<prompt_part> one{{1, 512}, {2, 1'024}, {3, 300}};
   const std::vector<prompt_part> two{{9, 512}, {2, 1'024}, {3, 300}};
@@ -32,45 +32,45 @@
   EXPECT_FALSE(split_prompt({}).shared_key);
 }
 
-TEST(SplitPromptTest, KeepsTheBlocksOfALongPromptBounded)
+TEST(SplitPromptTest, BoundsTheBlocksOfALongPrompt)
 {
   const std::vector<prompt_part> longest{{1, 512}, {2, 1'000'000}};
   EXPECT_EQ(split_prompt(longest).hashes.size(), 256U);
 }
 
-TEST(PrefixSpreadTest, GivesAQuietPrefixOneHome)
+TEST(PrefixSpreadTest, GivesAPrefixWithLittleTrafficOneEndpoint)
 {
-  prefix_spread spread;
-  EXPECT_EQ(spread.homes_of(1, 0.1, 6, start), 1U);
-  EXPECT_EQ(spread.homes_of(1, 0.1, 6, start + 10s), 1U);
+  prefix_traffic_meter meter;
+  EXPECT_EQ(meter.affinity_count(1, 0.1, 6, start), 1U);
+  EXPECT_EQ(meter.affinity_count(1, 0.1, 6, start + 10s), 1U);
 }
 
-TEST(PrefixSpreadTest, GivesABusyPrefixMoreHomes)
+TEST(PrefixSpreadTest, GivesABusyPrefixMoreEndpoints)
 {
-  prefix_spread spread;
-  std::size_t homes = 0;
-  // Ten requests a second of 0.1 s each at each of six daemons: six endpoints' time.
+  prefix_traffic_meter meter;
+  std::size_t endpoints = 0;
+  // Each of six daemons sends ten requests a second of 0.1 s each: the time of six endpoints.
   for (int i = 0; i < 100; ++i) {
-    homes = spread.homes_of(1, 0.1, 6, start + i * 100ms);
+    endpoints = meter.affinity_count(1, 0.1, 6, start + i * 100ms);
   }
-  EXPECT_GE(homes, 10U);
-  EXPECT_LE(homes, 14U);
+  EXPECT_GE(endpoints, 10U);
+  EXPECT_LE(endpoints, 14U);
 }
 
-TEST(PrefixSpreadTest, MeasuresEachPrefixByItself)
+TEST(PrefixSpreadTest, MeasuresEachPrefixSeparately)
 {
-  prefix_spread spread;
+  prefix_traffic_meter meter;
   for (int i = 0; i < 100; ++i) {
-    static_cast<void>(spread.homes_of(1, 0.1, 6, start + i * 100ms));
+    static_cast<void>(meter.affinity_count(1, 0.1, 6, start + i * 100ms));
   }
-  EXPECT_EQ(spread.homes_of(2, 0.1, 6, start + 10s), 1U);
+  EXPECT_EQ(meter.affinity_count(2, 0.1, 6, start + 10s), 1U);
 }
 
-TEST(PrefixSpreadTest, ForgetsPrefixesThatAreNotAskedForAnyMore)
+TEST(PrefixSpreadTest, EvictsIdlePrefixes)
 {
-  prefix_spread spread({.most_prefixes = 10});
+  prefix_traffic_meter meter({.max_prefixes = 10});
   for (std::uint64_t key = 0; key < 1'000; ++key) {
-    EXPECT_EQ(spread.homes_of(key, 0.1, 6, start + key * 1ms), 1U);
+    EXPECT_EQ(meter.affinity_count(key, 0.1, 6, start + key * 1ms), 1U);
   }
 }
 
@@ -80,10 +80,11 @@
   const prompt_blocks prompt_ = split_prompt(parts_);
 };
 
-TEST_F(LikeliestHolderTest, IsTheOneThatWasSentMost)
+TEST_F(LikeliestHolderTest, IsTheEndpointThatWasSentMost)
 {
-  const std::vector<prefix_holder> holders{
-      {.id = endpoint_id("a")}, {.id = endpoint_id("b"), .believed = 6}, {.id = endpoint_id("c")}};
+  const std::vector<prefix_holder> holders{{.id = endpoint_id("a")},
+                                           {.id = endpoint_id("b"), .blocks_sent = 6},
+                                           {.id = endpoint_id("c")}};
   EXPECT_EQ(likeliest_holder(prompt_, holders), 1U);
 }
 
@@ -96,14 +97,14 @@
 
 TEST_F(LikeliestHolderTest, DoesNotCountTheRequestsOwnPart)
 {
-  const std::vector<prefix_holder> holders{{.id = endpoint_id("a"), .believed = 6},
-                                           {.id = endpoint_id("b"), .believed = 7}};
-  const std::vector<prefix_holder> equals{{.id = endpoint_id("a"), .believed = 6},
-                                          {.id = endpoint_id("b"), .believed = 6}};
+  const std::vector<prefix_holder> holders{{.id = endpoint_id("a"), .blocks_sent = 6},
+                                           {.id = endpoint_id("b"), .blocks_sent = 7}};
+  const std::vector<prefix_holder> equals{{.id = endpoint_id("a"), .blocks_sent = 6},
+                                          {.id = endpoint_id("b"), .blocks_sent = 6}};
   EXPECT_EQ(likeliest_holder(prompt_, holders), likeliest_holder(prompt_, equals));
 }
 
-TEST_F(LikeliestHolderTest, IsNobodyWhereNothingIsShared)
+TEST_F(LikeliestHolderTest, IsNoneIfNothingIsShared)
 {
   const std::vector<prompt_part> own{{3, 5'000}};
   const std::vector<prefix_holder> holders{{.id = endpoint_id("a")}};
--- a/test/gateway/zone_loss_replay_test.cc
+++ b/test/gateway/zone_loss_replay_test.cc
@@ -1,5 +1,6 @@
-// Replays the loss of zone after zone: the planner orders endpoints from a stand-in for the cloud,
-// which takes all reclaimable ones of a zone away after a notice and has none to offer for a while.
+// Simulates the loss of one zone after the other: the planner orders endpoints from a simulated
+// cloud that reclaims all reclaimable endpoints of a zone after a notice, and then offers none for
+// some time.
 
 #include <algorithm>
 #include <map>
@@ -22,19 +23,20 @@
 };
 
 struct replay_options {
-  double busy = 0; // endpoints that the work keeps busy
+  double busy = 0; // number of endpoints that the load keeps fully busy
   unsigned most = 6;
   std::map<availability_zone, double> prices = {
       {availability_zone("a"), 0.85}, {availability_zone("b"), 1.2}, {availability_zone("c"), 1.0}};
   std::vector<zone_loss> losses;
-  std::chrono::milliseconds dry_time{14'000}; // after a notice: no reclaimable ones anywhere
+  // Time after a notice without reclaimable offers in any zone.
+  std::chrono::milliseconds sold_out_time{14'000};
 };
 
 class cloud {
  public:
   explicit cloud(const replay_options& options) : options_(options) {}
 
-  // Runs until `end` and returns the endpoints that served in each half second.
+  // Runs until `end` and returns the number of endpoints that served in each half second.
   std::vector<unsigned> run(mono_time end)
   {
     std::vector<unsigned> served;
@@ -43,13 +45,13 @@
       const auto in = input(now);
       served.push_back(serving(now));
       for (const auto& order : planner_.plan(in, now)) {
-        planner_.on_result(order, take(order, now), now);
+        planner_.on_result(order, answer_to(order, now), now);
       }
     }
     return served;
   }
 
-  // On-demand and reclaimable endpoints that serve or start.
+  // On-demand or reclaimable endpoints that are serving or starting.
   [[nodiscard]] unsigned present(bool reclaimable) const
   {
     unsigned sum = 0;
@@ -65,7 +67,7 @@
     for (const auto& loss : options_.losses) {
       if (loss.notice_at == now) {
         endpoints_[{.service = "chat", .zone = loss.zone, .reclaimable = true}].clear();
-        dry_until_ = now + options_.dry_time;
+        sold_out_until_ = now + options_.sold_out_time;
       }
     }
   }
@@ -100,10 +102,10 @@
     return sum;
   }
 
-  order_result take(const endpoint_order& order, mono_time now)
+  order_result answer_to(const endpoint_order& order, mono_time now)
   {
     auto& since = endpoints_[order.group];
-    if (order.group.reclaimable && order.wanted > since.size() && now < dry_until_) {
+    if (order.group.reclaimable && order.wanted > since.size() && now < sold_out_until_) {
       return order_result::sold_out;
     }
     since.resize(order.wanted, now + start_time);
@@ -114,11 +116,11 @@
 
   replay_options options_;
   scaling_planner planner_{{}};
-  std::map<endpoint_group, std::vector<mono_time>> endpoints_; // when each begins to serve
-  mono_time dry_until_ = start;
+  std::map<endpoint_group, std::vector<mono_time>> endpoints_; // start of service of each endpoint
+  mono_time sold_out_until_ = start;
 };
 
-// Three zones' losses within fifteen seconds, before 58 busy endpoints.
+// Losses of three zones within twenty seconds, with a load of 58 busy endpoints.
 replay_options large_fleet()
 {
   return {.busy = 58,
@@ -134,32 +136,32 @@
   return *std::min_element(served.begin() + index(from), served.begin() + index(to));
 }
 
-TEST(ZoneLossReplayTest, WhatServesIsNotGivenBackWhileOthersStart)
+TEST(ZoneLossReplayTest, ServingEndpointsAreKeptWhileOthersStart)
 {
   auto options = large_fleet();
   cloud c(options);
   const auto served = c.run(start + 50s);
-  // After the last notice the on-demand endpoints of all zones are what is left.
+  // After the last notice, only the on-demand endpoints of all zones are left.
   const auto before_notice =
       served[static_cast<std::size_t>((options.losses[2].notice_at - start) / 500ms) - 1];
   const auto left = fewest(served, options.losses[2].notice_at, options.losses[2].notice_at + 4s);
   options.losses.pop_back();
-  cloud spared(options);
-  spared.run(options.losses[1].notice_at + 13s);
-  EXPECT_GE(left, spared.present(false)) << "of " << before_notice;
+  cloud without_last_loss(options);
+  without_last_loss.run(options.losses[1].notice_at + 13s);
+  EXPECT_GE(left, without_last_loss.present(false)) << "of " << before_notice;
 }
 
-// When the last zone's reclaimable endpoints go as well, on-demand ones do the work alone, and a
-// start takes longer than a notice: they have to serve before it.
+// When the reclaimable endpoints of the last zone are lost too, on-demand endpoints carry the load
+// alone. Starting an endpoint takes longer than the notice, so that they must be serving before it.
 TEST(ZoneLossReplayTest, TheLossOfTheLastZoneIsCoveredBeforeItsNotice)
 {
   auto options = large_fleet();
-  options.dry_time = 20s;
+  options.sold_out_time = 20s;
   cloud c(options);
   const auto served = c.run(start + 50s);
   const auto last_notice = options.losses[2].notice_at;
-  constexpr double comfortable = 0.65; // of their time
-  EXPECT_GE(fewest(served, last_notice, last_notice + 8s), options.busy / comfortable);
+  constexpr double max_utilization = 0.65;
+  EXPECT_GE(fewest(served, last_notice, last_notice + 8s), options.busy / max_utilization);
 }
 
 TEST(ZoneLossReplayTest, ReclaimableEndpointsTakeOverAgainAfterTheLoss)
--- a/test/relay/crash_store_test.cc
+++ b/test/relay/crash_store_test.cc
@@ -37,13 +37,13 @@
   // What another daemon would have written.
   boost::json::value written_elsewhere(int number, std::chrono::seconds ago = 0s)
   {
-    gateway::crash_news news;
+    gateway::crash_report news;
     for (int i = 0; i < number; ++i) {
       news.crashes.push_back({.process = {.id = endpoint_id("j-" + std::to_string(i))},
                               .at = state_.fleet_time() - ago,
                               .suspects = {{content, gateway::answer_stage::not_begun}}});
     }
-    return encode_crash_news(news);
+    return encode_crash_report(news);
   }
 
   void wait_until(const std::function<bool()>& probe, const char* what)
@@ -67,7 +67,7 @@
   [[nodiscard]] std::size_t ends_stored() const
   {
     const auto spec = fake_.get(kind, to_string(content));
-    return spec.is_object() ? gateway::decode_crash_news(spec).crashes.size() : 0;
+    return spec.is_object() ? gateway::decode_crash_report(spec).crashes.size() : 0;
   }
 
   boost::asio::io_context context_;
--- a/test/relay/rate_limit_replay_test.cc
+++ b/test/relay/rate_limit_replay_test.cc
@@ -82,7 +82,7 @@
     d.state.endpoints.on_first_token(chosen->work, now_);
     d.state.endpoints.on_finished(chosen->work, 10, now_);
     const auto it = limited_.find(chosen->id);
-    gateway::answered_terms said{.process = chosen->process(), .sent_at = now_, .is_signed = true};
+    gateway::answer_terms said{.process = chosen->process(), .sent_at = now_, .is_signed = true};
     if (it != limited_.end()) {
       said.terms.request_rate = it->second.rate;
       it->second.told.try_emplace(n, now_);
--- a/test/relay/replayed_fleet.h
+++ b/test/relay/replayed_fleet.h
@@ -106,7 +106,7 @@
     for (const auto& d : daemons_) {
       d->state.endpoints.replace_all(listed_, number, now_);
       for (const auto& r : listed_) {
-        d->state.feed.note(r);
+        d->state.feed.update(r);
       }
       d->state.feed.on_list(d->state.endpoints.all(), number, now_);
       give_calls(*d, calls);
@@ -270,7 +270,7 @@
   void follow_view(replayed_daemon& d, const replayed_daemon& peer)
   {
     const auto view = peer.state.endpoint_view(now_);
-    if (d.state.feed.on_peer_view(view, now_) == gateway::feed_step::nothing) {
+    if (d.state.feed.on_peer_view(view, now_) == gateway::feed_action::nothing) {
       return;
     }
     const auto after = d.state.feed.revision();
@@ -278,7 +278,7 @@
     d.state.take_departures(changes.departures, now_);
     for (const auto& r : changes.records) {
       d.state.endpoints.apply(r, now_);
-      d.state.feed.note_fetched(r);
+      d.state.feed.update_from_peer(r);
     }
     d.state.feed.on_fetched(changes.view, after, now_);
   }
