--- a/bench/capacity_bench.cc
+++ b/bench/capacity_bench.cc
@@ -47,7 +47,7 @@
       {.name = "- zone headroom", .change = [](auto& rules) { rules.zone_headroom = false; }},
       {.name = "- launch backoff", .change = [](auto& rules) { rules.back_off_refused = false; }},
       {.name = "- reclaim backoff",
-       .change = [](auto& rules) { rules.backoff.after_reclaim = std::chrono::milliseconds{0}; }},
+       .change = [](auto& rules) { rules.backoff.reclaim_backoff = std::chrono::milliseconds{0}; }},
       {.name = "- late release",
        .change = [](auto& rules) { rules.release_after = std::chrono::milliseconds{1'000}; }},
   };
--- a/bench/capacity_bench_world.cc
+++ b/bench/capacity_bench_world.cc
@@ -71,7 +71,7 @@
   planner_options rules_of(planner_options rules) const
   {
     rules.launch_time = options_.launch_time;
-    rules.utilisation_at_target = utilisation;
+    rules.target_utilisation = utilisation;
     rules.backoff.seed = options_.seed;
     if (who_ == policy::reclaimable_only) {
       rules.zone_headroom = false;
@@ -239,7 +239,7 @@
     for (const auto& c : classes) {
       in.rates[c.name] = {.decode_tokens_per_second = decode_rate * c.size};
     }
-    in.loads = {{.model = model_id("m"), .bytes = weights_bytes}};
+    in.model_loads = {{.model = model_id("m"), .bytes = weights_bytes}};
     for (const auto& [id, i] : instances_) {
       if (i.listed_at <= now_) {
         in.instances.push_back(i.seen);
--- a/bench/policy_bench_fleet.cc
+++ b/bench/policy_bench_fleet.cc
@@ -45,16 +45,16 @@
   std::uint64_t id = 0;
   request_state* request = nullptr;
   std::size_t daemon = 0;
-  routing::sent_work work;
+  routing::sent_attempt work;
 };
 
 struct daemon_state {
   availability_zone zone;
   routing::endpoint_table table{{}};
-  routing::prefix_belief belief;
+  routing::prefix_cache_index belief;
   routing::routing_options options;
   admission::admission_control admission;
-  admission::retry_budget hedges{{.fraction = 0.05, .min_per_second = 0, .most_saved = 5}};
+  admission::retry_budget hedges{{.fraction = 0.05, .min_per_second = 0, .max_balance = 5}};
   std::mt19937_64 rng;
   std::size_t turn = 0; // of round robin
   std::vector<double> latencies;
@@ -110,25 +110,25 @@
     const auto& where = options_.where;
     auto it = std::make_unique<daemon_state>(daemon_state{
         .zone = engines_[static_cast<std::size_t>(i) % 4]->spec().description.availability_zone,
-        .belief = routing::prefix_belief({}),
-        .admission = {{.batch_in_flight = how().batch_gives_way ? 0.5 : 1,
-                       .batch_utilisation = how().batch_gives_way ? 0.7 : unlimited},
+        .belief = routing::prefix_cache_index({}),
+        .admission = {{.max_batch_in_flight_share = how().batch_gives_way ? 0.5 : 1,
+                       .max_batch_utilisation = how().batch_gives_way ? 0.7 : unlimited},
                       {.self = daemon_id(std::to_string(i)), .lend = how().lend}},
         .rng = std::mt19937_64(options_.seed * 1000 + static_cast<std::uint64_t>(i))});
     const bool declared = how().price_preference < 0;
     it->options = {.availability_zone = it->zone,
                    .price_preference = declared ? where.price_preference : how().price_preference,
-                   .near_equal = how().near_equal,
-                   .network_within_zone = std::chrono::microseconds(200),
-                   .network_between_zones =
+                   .near_equal_margin = how().near_equal,
+                   .same_zone_latency = std::chrono::microseconds(200),
+                   .cross_zone_latency =
                        std::chrono::microseconds(static_cast<int>(2e6 * where.between_zones)),
                    .tokens_per_block = block_tokens,
                    .rules = how().rules};
     for (const auto& e : engines_) {
       it->table.upsert(e->spec().description);
     }
-    it->admission.shares().set_daemons(where.daemons);
-    it->admission.shares().set_shares(declared_shares(), start);
+    it->admission.limiter().set_daemon_count(where.daemons);
+    it->admission.limiter().set_shares(declared_shares(), start);
     daemons_.push_back(std::move(it));
   }
 
@@ -201,10 +201,10 @@
   void refresh_shares()
   {
     for (auto& it : daemons_) {
-      it->admission.shares().refresh(events_.now());
-      later(gossip_delay, [this, report = it->admission.shares().local_demand(events_.now())] {
+      it->admission.limiter().refresh(events_.now());
+      later(gossip_delay, [this, report = it->admission.limiter().local_demand(events_.now())] {
         for (auto& peer : daemons_) {
-          peer->admission.shares().on_demand(report);
+          peer->admission.limiter().on_demand_report(report);
         }
       });
     }
@@ -448,7 +448,7 @@
   void schedule_hedge(request_state& r, std::size_t daemon, endpoint_slot slot)
   {
     auto& d = *daemons_[daemon];
-    d.hedges.on_fresh();
+    d.hedges.on_first_attempt();
     if (r.spec->kind != request_kind::interactive || d.latencies.size() < latencies_kept) {
       return;
     }
--- a/bench/policy_bench_scale.cc
+++ b/bench/policy_bench_scale.cc
@@ -55,7 +55,7 @@
   mono_time now{std::chrono::seconds(1000)};
   std::mt19937_64 rng{seed};
   routing::endpoint_table table{{}};
-  routing::prefix_belief belief{{}};
+  routing::prefix_cache_index belief{{}};
   routing::routing_options options{.availability_zone = availability_zone("zone-3")};
   std::vector<std::vector<std::uint64_t>> all_blocks;
 };
@@ -126,15 +126,15 @@
   for (int i = 0; i < workspaces; ++i) {
     shares[workspace_id("workspace-" + std::to_string(i))] = {{100, 1e5, 1e6}};
   }
-  limiter.set_daemons(daemons);
+  limiter.set_daemon_count(daemons);
   for (int i = 1; i < daemons; ++i) {
     admission::demand_report report{.daemon = daemon_id("d-" + std::to_string(i)),
-                                    .good_until = now + std::chrono::hours(1)};
+                                    .valid_until = now + std::chrono::hours(1)};
     for (int j = 0; j < 10; ++j) {
       report.demand[workspace_id("workspace-" + std::to_string((i * 7 + j) % workspaces))] = {
           {1, 1e3, 1e4}};
     }
-    limiter.on_demand(report);
+    limiter.on_demand_report(report);
   }
   const auto from = std::chrono::steady_clock::now();
   limiter.set_shares(shares, now);
--- a/include/wisteriaflow/admission/max_min_fair.h
+++ b/include/wisteriaflow/admission/max_min_fair.h
@@ -1,4 +1,5 @@
-// Max-min fair division: small demands are met whole, the rest is divided evenly.
+// Max-min fair allocation: demands below the fair share are met in full, and the remaining capacity
+// is divided evenly among the others.
 
 #ifndef WISTERIAFLOW_ADMISSION_MAX_MIN_FAIR_H_
 #define WISTERIAFLOW_ADMISSION_MAX_MIN_FAIR_H_
@@ -8,8 +9,9 @@
 
 namespace wisteriaflow::admission {
 
-// Divides `capacity` over `demands`; no part is larger than its demand, and the parts add up to
-// the smaller of the capacity and the total demand. Negative numbers count as 0.
+// Divides `capacity` among `demands` and returns one allocation per demand. No allocation exceeds
+// its demand, and they add up to the smaller of `capacity` and the total demand. Negative values
+// count as 0.
 //
 //   max_min_fair(10, {2, 9, 9}) == {2, 4, 4}
 [[nodiscard]] std::vector<double> max_min_fair(double capacity, std::span<const double> demands);
--- a/include/wisteriaflow/admission/rate_limit.h
+++ b/include/wisteriaflow/admission/rate_limit.h
@@ -1,4 +1,4 @@
-// A rate limit kept as one point in time (the generic cell rate algorithm).
+// A rate limiter whose state is a single point in time (the generic cell rate algorithm, GCRA).
 
 #ifndef WISTERIAFLOW_ADMISSION_RATE_LIMIT_H_
 #define WISTERIAFLOW_ADMISSION_RATE_LIMIT_H_
@@ -7,23 +7,27 @@
 
 namespace wisteriaflow::admission {
 
-// Lets `rate` units a second through, with bursts of up to `burst` seconds' worth. A single
-// request may be larger than a burst; it is let through and the limit is in debt afterwards.
+// Allows `rate` units per second, with bursts of as many units as accrue in the time `burst`. A
+// single request may be larger than a burst: it is allowed and leaves the limiter in debt, so that
+// the next request has to wait.
+//
+//   rate_limit limit(100, std::chrono::seconds(1));
+//   if (limit.next_allowed_at(now) <= now) { limit.consume(units, now); ... }
 class rate_limit {
  public:
-  // A rate of 0 lets nothing through.
+  // `rate` is in units per second; with a rate of 0 or less nothing is allowed.
   rate_limit(double rate, std::chrono::milliseconds burst);
 
-  // When the next request is let through: `now` or later.
-  [[nodiscard]] mono_time open_at(mono_time now) const;
+  // Earliest time at which a request is allowed: `now` or later.
+  [[nodiscard]] mono_time next_allowed_at(mono_time now) const;
 
-  // Units that would go through at once now; 0 in debt.
+  // Units that may be consumed at `now` without going into debt; 0 while in debt.
   [[nodiscard]] double available(mono_time now) const;
 
-  // Counts `amount` units, whether open or not. A negative amount gives units back.
-  void take(double amount, mono_time now);
+  // Consumes `amount` units unconditionally. A negative amount returns units.
+  void consume(double amount, mono_time now);
 
-  // Changes the rate; a debt is kept in units, not in seconds.
+  // Changes the rate. A debt keeps its size in units, so its duration changes with the rate.
   void set_rate(double rate, mono_time now);
 
   [[nodiscard]] double rate() const { return rate_; }
@@ -31,7 +35,7 @@
  private:
   double rate_;
   std::chrono::milliseconds burst_;
-  mono_time paid_until_; // all that was let through is covered by the rate up to here
+  mono_time theoretical_arrival_; // GCRA: when the consumed units will have accrued
 };
 
 } // namespace wisteriaflow::admission
--- a/include/wisteriaflow/admission/retry.h
+++ b/include/wisteriaflow/admission/retry.h
@@ -1,4 +1,7 @@
-// Retries: a budget over all requests and a backoff for each one.
+// Limits on retries: a retry budget shared by all requests, and an exponential backoff for each
+// request.
+//
+//   if (budget.try_retry(now)) { schedule(next_retry_at(backoff, retry, now, rng)); }
 
 #ifndef WISTERIAFLOW_ADMISSION_RETRY_H_
 #define WISTERIAFLOW_ADMISSION_RETRY_H_
@@ -11,35 +14,37 @@
 namespace wisteriaflow::admission {
 
 struct retry_budget_options {
-  double fraction = 0.1;     // retries allowed for each fresh request
-  double min_per_second = 1; // allowed also without fresh requests
-  double most_saved = 20;    // retries that may be saved up
+  double fraction = 0.1;     // retries earned by each first attempt
+  double min_per_second = 1; // retries earned regardless of traffic
+  double max_balance = 20;   // most retries that can accumulate; also the initial balance
 };
 
-// Keeps retries to a fraction of fresh work, so that a zone's loss causes no storm of them.
+// Limits retries to a fraction of first attempts, so that the loss of a zone does not cause a retry
+// storm. Works as a token bucket whose tokens are retries.
 class retry_budget {
  public:
   explicit retry_budget(retry_budget_options options);
 
-  // A request came in that is no retry.
-  void on_fresh();
+  // Records the first attempt of a request, which earns `fraction` of a retry.
+  void on_first_attempt();
 
-  // Takes one retry from the budget; false if there is none left.
+  // Takes one retry from the budget; returns false if the budget is exhausted.
   [[nodiscard]] bool try_retry(mono_time now);
 
  private:
   retry_budget_options options_;
-  double saved_;
-  mono_time topped_up_at_;
+  double balance_;
+  mono_time refilled_at_;
 };
 
 struct backoff_options {
-  std::chrono::milliseconds base{20}; // longest wait before the first retry
-  std::chrono::milliseconds limit{2'000};
+  std::chrono::milliseconds base{20};     // longest delay of the first retry
+  std::chrono::milliseconds limit{2'000}; // longest delay of any retry
 };
 
-// When to make retry number `retry` (from 0): uniform between now and a limit that doubles with
-// each retry ("full jitter").
+// Returns when to make retry number `retry` (counted from 0). The delay is drawn uniformly between
+// 0 and a bound that starts at `base`, doubles with each retry and stops at `limit` ("full
+// jitter").
 [[nodiscard]] mono_time next_retry_at(const backoff_options& options, int retry, mono_time now,
                                       std::mt19937_64& rng);
 
--- a/include/wisteriaflow/capacity/demand_window.h
+++ b/include/wisteriaflow/capacity/demand_window.h
@@ -1,5 +1,6 @@
-// The highest demand of a recent time: capacity follows demand up at once and down late, so that a
-// short lull releases nothing that is needed again a moment later.
+// The peak demand of a sliding time window. Capacity follows an increase of demand at once and a
+// decrease only after the window, so that a short lull does not release instances that are needed
+// again soon after.
 
 #ifndef WISTERIAFLOW_CAPACITY_DEMAND_WINDOW_H_
 #define WISTERIAFLOW_CAPACITY_DEMAND_WINDOW_H_
@@ -13,24 +14,24 @@
 
 namespace wisteriaflow::capacity {
 
-// Keeps at most `slots` maxima, each of an equal part of the window.
+// Keeps the maxima of at most `slots` equal parts of the window.
 class demand_window {
  public:
-  explicit demand_window(std::chrono::milliseconds length) : part_(length / slots) {}
+  explicit demand_window(std::chrono::milliseconds length) : slot_length_(length / slots) {}
 
-  // Adds a measurement and returns the highest of the window, rate by rate.
+  // Adds a measurement and returns the maximum of each rate over the window.
   pool_demand add(const pool_demand& measured, mono_time now);
 
  private:
   static constexpr int slots = 20;
 
   struct slot {
-    pool_demand highest;
-    mono_time ends;
-    mono_time forgotten_at;
+    pool_demand peak;
+    mono_time ends_at;
+    mono_time expires_at;
   };
 
-  std::chrono::milliseconds part_;
+  std::chrono::milliseconds slot_length_;
   std::deque<slot> slots_;
 };
 
--- a/include/wisteriaflow/capacity/errors.h
+++ b/include/wisteriaflow/capacity/errors.h
@@ -7,7 +7,7 @@
 
 namespace wisteriaflow::capacity {
 
-// A document of the capacity duty that cannot be read. The message names what is wrong.
+// Thrown when a stored document of the capacity controller cannot be decoded. The message says why.
 class capacity_error : public error {
  public:
   using error::error;
--- a/include/wisteriaflow/capacity/launch_backoff.h
+++ b/include/wisteriaflow/capacity/launch_backoff.h
@@ -1,5 +1,5 @@
-// Which offers to leave alone for a while: those whose starts were refused, and reclaimable ones
-// where a reclaim has just struck.
+// Backoff per offer: no launches for a while from offers whose launches were refused, and from
+// reclaimable offers of which an instance has just been reclaimed.
 
 #ifndef WISTERIAFLOW_CAPACITY_LAUNCH_BACKOFF_H_
 #define WISTERIAFLOW_CAPACITY_LAUNCH_BACKOFF_H_
@@ -15,13 +15,14 @@
 namespace wisteriaflow::capacity {
 
 struct launch_backoff_options {
-  std::chrono::milliseconds first{5'000};  // doubled with each refusal in a row
-  std::chrono::milliseconds most{300'000}; // longest time that an offer is left alone
-  std::chrono::milliseconds after_reclaim{120'000};
+  std::chrono::milliseconds initial{5'000}; // doubles with each consecutive refusal
+  std::chrono::milliseconds limit{300'000}; // longest backoff after a refusal
+  std::chrono::milliseconds reclaim_backoff{120'000};
   std::uint64_t seed = 0; // of the jitter
 };
 
-// Backs off by offer, with jitter of half the time.
+// Tracks the backoff of each offer. The backoff after a refusal is drawn uniformly between half and
+// the whole of its nominal time.
 class launch_backoff {
  public:
   explicit launch_backoff(launch_backoff_options options);
@@ -29,12 +30,13 @@
   void on_refused(const offer_key& key, mono_time now);
   void on_started(const offer_key& key);
 
-  // An instance of this kind is being reclaimed: what starts beside it would soon follow it.
+  // Records that an instance of this kind is being reclaimed: a new one would probably be reclaimed
+  // soon as well.
   void on_reclaimed(const offer_key& key, mono_time now);
 
   [[nodiscard]] bool may_launch(const offer_key& key, mono_time now) const;
 
-  // When the offer may be tried again; in the past if it may be now.
+  // When the offer may be used again; a time in the past if it may be used now.
   [[nodiscard]] mono_time retry_at(const offer_key& key) const;
 
  private:
@@ -44,7 +46,7 @@
   };
 
   launch_backoff_options options_;
-  std::mt19937_64 random_;
+  std::mt19937_64 rng_;
   std::map<offer_key, state> states_;
 };
 
--- a/include/wisteriaflow/capacity/launch_ledger.h
+++ b/include/wisteriaflow/capacity/launch_ledger.h
@@ -1,8 +1,9 @@
-// Launches that have been decided and do not serve yet, by their idempotency tokens.
+// Records of launches that have been decided but whose instances do not serve yet, identified by
+// idempotency tokens.
 //
-// A launch is written to the store before the cloud API is asked. Whoever holds the capacity lease
-// finds it there and asks again with the same token, so that a lost answer starts no second
-// instance.
+// A launch is written to the store before the call to the cloud API. The holder of the capacity
+// lease, which may have changed since, finds it there and repeats the call with the same token, so
+// that a lost answer does not start a second instance.
 
 #ifndef WISTERIAFLOW_CAPACITY_LAUNCH_LEDGER_H_
 #define WISTERIAFLOW_CAPACITY_LAUNCH_LEDGER_H_
@@ -20,22 +21,23 @@
 
 namespace wisteriaflow::capacity {
 
-// One launch on its way.
+// A pending launch.
 struct launch_record {
   std::string token;
   std::string pool;
   offer_key key;
-  instance_id id;       // empty until the cloud API has told it
-  wall_time give_up_at; // an instance that does not serve by then is released
+  instance_id id;       // empty until the cloud API has returned it
+  wall_time give_up_at; // the instance is released if it does not serve by then
 
   friend bool operator==(const launch_record&, const launch_record&) = default;
 };
 
-// "<pool>-<fencing number>-<counter>": no two holders of the lease make the same one.
+// Returns "<pool>-<fencing number>-<counter>". The fencing number ensures that no two holders
+// of the lease create the same token.
 [[nodiscard]] std::string launch_token(std::string_view pool, std::uint64_t fencing_number,
                                        std::uint64_t counter);
 
-// The records as they stand in the lease's object, and back. The decoder throws capacity_error.
+// Encodes the records for the lease object, and decodes them. The decoder throws `capacity_error`.
 [[nodiscard]] boost::json::value encode_launches(const std::vector<launch_record>& launches);
 [[nodiscard]] std::vector<launch_record> decode_launches(const boost::json::value& document);
 
--- a/include/wisteriaflow/capacity/lease_holder.h
+++ b/include/wisteriaflow/capacity/lease_holder.h
@@ -1,21 +1,26 @@
-// Holds one control duty under a lease in the object API, or waits for it.
+// Acquires, renews and releases a lease on a control duty, which is a task that one daemon performs
+// for the whole fleet, such as capacity planning. The lease is an object in the object API; the
+// daemon that holds it performs the duty.
 //
-// - Each holder raises the lease's fencing number.
-// - A lease is free when its object has not changed for its whole time, by the observer's own
-//   monotonic clock; wall clocks of different machines are never compared. The holder counts from
-//   before it sent the write, so it stops no later than anyone else may begin.
-// - The holder's right ends by its own clock: ask `may_order` right before each order.
-// - Endpoints that ignore fencing numbers are spared until the former holder's last orders can no
-//   longer arrive.
-// - A write whose answer was lost is settled by reading back its nonce.
-// - The object also carries the duty's notes, such as launches on their way: writing them is the
-//   same conditional update, so that a former holder cannot write any.
+// - Each new holder increments the lease's fencing number.
+// - A lease may be claimed when its object has not changed for the whole lease duration, measured
+//   on the observer's own monotonic clock; wall clocks of different machines are never compared.
+//   The holder measures the duration from before it sent the write, so its lease ends no later
+//   than another daemon may claim it.
+// - The lease expires on the holder's own clock: call `may_issue_order` right before each order
+//   (a command that the duty sends to an endpoint).
+// - Endpoints that ignore fencing numbers get no orders from a new holder until the last orders of
+//   the former holder can no longer arrive.
+// - After a write without an answer, the client reads the lease and compares the nonce to find out
+//   whether the write took effect.
+// - The object also carries the duty's notes (application data such as pending launches). They are
+//   written by the same conditional update, so that a former holder cannot overwrite them.
 //
-// Pure: events and the current time go in, calls to the store come out.
+// A pure state machine: events and the current time are its input, calls to the store its output.
 //
-//   lease_holder holder({.name = "capacity", .self = id});
-//   auto calls = holder.handle(lease_wanted{true}, now);
-//   if (holder.may_order(endpoint_checks_fencing, now.mono)) { ... holder.fencing_number() ... }
+//   lease_client lease({.name = "capacity", .self = id});
+//   auto calls = lease.handle(lease_wanted{true}, now);
+//   if (lease.may_issue_order(checks_fencing, now.mono)) { ... lease.fencing_number() ... }
 
 #ifndef WISTERIAFLOW_CAPACITY_LEASE_HOLDER_H_
 #define WISTERIAFLOW_CAPACITY_LEASE_HOLDER_H_
@@ -36,85 +41,91 @@
 
 namespace wisteriaflow::capacity {
 
+// Resource name of leases in the object API.
 inline constexpr std::string_view leases_plural = "leases";
 
+// Settings of one lease.
 struct lease_options {
   std::string name;
   daemon_id self;
   std::chrono::milliseconds duration{10'000};
   std::chrono::milliseconds renew_period{3'000};
-  std::chrono::milliseconds read_period{2'000};   // while another daemon holds it
-  std::chrono::milliseconds order_timeout{5'000}; // an order arrives within this time or not at all
-  std::chrono::milliseconds skew_margin{1'000};   // by which clocks drift apart in `duration`
-  std::chrono::milliseconds retry_period{500};    // after a failed call
-  std::uint64_t seed = 0;                         // of nonces
+  std::chrono::milliseconds read_period{2'000};   // while another daemon holds the lease
+  std::chrono::milliseconds order_timeout{5'000}; // longest time until an order arrives
+  std::chrono::milliseconds skew_margin{1'000};   // bound on clock drift in `duration`
+  std::chrono::milliseconds retry_period{500};    // after a call without an answer
+  std::uint64_t seed = 0;                         // of the nonces
 };
 
-// The lease as it stands in the store.
+// The lease as stored.
 struct lease_record {
-  daemon_id holder; // empty: given back
+  daemon_id holder; // empty: released
   std::uint64_t fencing_number = 0;
-  std::uint64_t nonce = 0; // of the last write
+  std::uint64_t nonce = 0; // identifies the last write
   std::chrono::milliseconds duration{};
-  boost::json::value notes;
+  boost::json::value notes; // application data of the duty
 
   friend bool operator==(const lease_record&, const lease_record&) = default;
 };
 
-// The record as an object of the store, and back. The decoder throws capacity_error.
+// Encodes the record as an object of the object API, and decodes it. A `version` of 0 is omitted.
+// The decoder throws `capacity_error`.
 [[nodiscard]] boost::json::value encode_lease(const std::string& name, const lease_record& record,
                                               std::uint64_t version);
 [[nodiscard]] lease_record decode_lease(const boost::json::value& document);
 
 // Events.
 
-// Whether this daemon wants the duty.
+// Whether this daemon should acquire and keep the lease, or release it.
 struct lease_wanted {
   bool wanted = false;
 };
 
-// The answer to a read: what the store holds, and its version.
+// Answer to a read: the stored lease and its version.
 struct lease_found {
   std::uint64_t call = 0;
   lease_record record;
   std::uint64_t version = 0;
 };
+// Answer to a read: the lease object does not exist.
 struct lease_missing {
   std::uint64_t call = 0;
 };
 
-// The answer to a write.
+// Answer to a write: it took effect and the object now has this version.
 struct lease_written {
   std::uint64_t call = 0;
   std::uint64_t version = 0;
 };
+// Answer to a write: the stored version differed, nothing was written.
 struct lease_conflict {
   std::uint64_t call = 0;
 };
 
-// No answer: a write may or may not have taken effect.
-struct lease_call_lost {
+// A call got no answer; a write may or may not have taken effect.
+struct lease_call_unanswered {
   std::uint64_t call = 0;
 };
 
-// The duty's notes have changed and are to be written, without waiting for the next renewal.
+// The duty's notes have changed; they are written without waiting for the next renewal.
 struct notes_changed {
   boost::json::value notes;
 };
 
-// Time passed.
+// Time has passed; due at `wake_at`.
 struct lease_tick {};
 
 using lease_event = std::variant<lease_wanted, lease_found, lease_missing, lease_written,
-                                 lease_conflict, lease_call_lost, notes_changed, lease_tick>;
+                                 lease_conflict, lease_call_unanswered, notes_changed, lease_tick>;
 
 // Actions.
 
+// Reads the lease object.
 struct read_lease {
   std::uint64_t call = 0;
 };
 
-// Replaces the object if its version is `version`; creates it if that is 0.
+// Replaces the object if its stored version equals `version`; a `version` of 0 creates the object.
 struct write_lease {
   std::uint64_t call = 0;
   lease_record record;
@@ -123,42 +134,44 @@
 
 using lease_action = std::variant<read_lease, write_lease>;
 
-// Not thread-safe: one thread owns it.
-class lease_holder {
+// The state machine of one lease at one daemon. Not thread-safe.
+class lease_client {
  public:
-  explicit lease_holder(lease_options options);
-  ~lease_holder();
-  lease_holder(const lease_holder&) = delete;
-  lease_holder& operator=(const lease_holder&) = delete;
+  explicit lease_client(lease_options options);
+  ~lease_client();
+  lease_client(const lease_client&) = delete;
+  lease_client& operator=(const lease_client&) = delete;
 
+  // Processes an event and returns the store calls to make. The answer to a call is delivered as an
+  // event with the same `call` number.
   std::vector<lease_action> handle(const lease_event& event, clock_reading now);
 
-  // When the next lease_tick is due.
+  // When the next `lease_tick` is due; absent if none is needed.
   [[nodiscard]] std::optional<mono_time> wake_at() const;
 
   // Whether this daemon holds the lease at `now`.
   [[nodiscard]] bool holds(mono_time now) const;
 
-  // Whether an order may be given at `now` to an endpoint that checks fencing numbers, or one that
-  // does not.
-  [[nodiscard]] bool may_order(bool checks_fencing, mono_time now) const;
+  // Whether an order may be sent at `now` to an endpoint that checks fencing numbers
+  // (`checks_fencing`) or to one that ignores them.
+  [[nodiscard]] bool may_issue_order(bool checks_fencing, mono_time now) const;
 
-  // When the right to give orders ends, unless the lease is renewed.
+  // When the lease expires for its holder unless it is renewed.
   [[nodiscard]] mono_time deadline() const;
 
-  // The number under which this daemon holds the lease.
+  // The fencing number under which this daemon holds the lease.
   [[nodiscard]] std::uint64_t fencing_number() const;
 
-  // The notes of the lease: upon taking it over, the former holder's.
+  // The notes of the lease; after it was acquired, those of the former holder.
   [[nodiscard]] const boost::json::value& notes() const;
 
-  // Whether the last notes given by notes_changed are in the store.
+  // Whether the notes of the last `notes_changed` are stored.
   [[nodiscard]] bool notes_written() const;
 
-  // Whether nothing is held and no write of this daemon is open.
+  // Whether this daemon neither holds the lease nor has a pending write.
   [[nodiscard]] bool is_idle() const;
 
-  // Who held the lease when it was last seen; empty if nobody.
+  // The holder when the lease was last read or written; empty if there was none.
   [[nodiscard]] const daemon_id& last_seen_holder() const;
 
  private:
--- a/include/wisteriaflow/capacity/load_queue.h
+++ b/include/wisteriaflow/capacity/load_queue.h
@@ -1,4 +1,4 @@
-// Paces model loads to what the weight store gives, and remembers which endpoint has what.
+// Paces model loads to the bandwidth of the weight store and tracks which endpoint has loaded what.
 
 #ifndef WISTERIAFLOW_CAPACITY_LOAD_QUEUE_H_
 #define WISTERIAFLOW_CAPACITY_LOAD_QUEUE_H_
@@ -16,36 +16,37 @@
 namespace wisteriaflow::capacity {
 
 struct load_queue_options {
-  double bytes_per_second = 1e9;                   // that the weight store gives to all together
-  std::chrono::milliseconds order_timeout{60'000}; // beyond the time that the bytes take
+  double bytes_per_second = 1e9;                   // total bandwidth of the weight store
+  std::chrono::milliseconds order_timeout{60'000}; // in addition to the transfer time
 };
 
-// Loads are begun one after another: the next one when the weight store has given the last one's
-// bytes, as far as its rate says. An order that is not answered in time is given again.
+// Starts loads one after another: the next one when the bytes of the last one should have been
+// transferred at the configured rate. An order without an answer within its timeout may be
+// repeated.
 class load_queue {
  public:
   explicit load_queue(load_queue_options options) : options_(options) {}
 
   // Whether `endpoint` has reported everything in `loads` as loaded.
-  [[nodiscard]] bool has_all(const instance_id& endpoint,
-                             const std::vector<model_load>& loads) const;
+  [[nodiscard]] bool has_loaded_all(const instance_id& endpoint,
+                                    const std::vector<model_load>& loads) const;
 
-  // Whether a load for this endpoint may be ordered now; if so it counts as ordered.
+  // Returns whether a load for this endpoint may be ordered now, and if so records it as ordered.
   bool try_start(const instance_id& endpoint, const model_load& load, mono_time now);
 
-  // The endpoint's answer. A failed load may be ordered again.
+  // Records the endpoint's answer. A failed load may be ordered again.
   void on_answered(const instance_id& endpoint, const model_load& load, bool loaded);
 
-  // Forgets endpoints that are no more.
-  void keep_only(const std::set<instance_id>& endpoints);
+  // Removes the state of all endpoints that are not in `endpoints`.
+  void retain_only(const std::set<instance_id>& endpoints);
 
-  // When the weight store is next free.
+  // When the next load may start.
   [[nodiscard]] mono_time free_at() const { return free_at_; }
 
  private:
   struct state {
     std::set<model_load> loaded;
-    std::map<model_load, mono_time> ordered; // until when the answer is awaited
+    std::map<model_load, mono_time> pending; // deadline of the answer
   };
 
   load_queue_options options_;
--- a/include/wisteriaflow/gateway/demand_meter.h
+++ b/include/wisteriaflow/gateway/demand_meter.h
@@ -72,7 +72,7 @@
   void on_sent(std::string_view service, int tokens);
 
   // Records that the first token of `work` has arrived, which measures the speed of an endpoint.
-  void on_first_token(std::string_view service, const routing::sent_work& work, mono_time now);
+  void on_first_token(std::string_view service, const routing::sent_attempt& work, mono_time now);
 
   // Updates the smoothed rates with the prompts sent since the last call. `daemons` is the number
   // of live daemons, this one included.
--- a/include/wisteriaflow/gateway/endpoint_pool.h
+++ b/include/wisteriaflow/gateway/endpoint_pool.h
@@ -106,7 +106,7 @@
   std::uint64_t incarnation = 0; // see endpoint_record
   std::string version;
   http::socket_address address;
-  routing::sent_work work;
+  routing::sent_attempt work;
   // Address of another endpoint that probably has the prompt's shared parts in its cache and from
   // which they can be copied.
   std::optional<http::socket_address> prefix_source = std::nullopt;
@@ -200,10 +200,10 @@
   [[nodiscard]] bool is_active(const endpoint_process& process) const;
 
   // The attempt's first event or complete answer has arrived.
-  void on_first_token(routing::sent_work& work, mono_time now);
+  void on_first_token(routing::sent_attempt& work, mono_time now);
 
   // The attempt has ended, with any result.
-  void on_finished(const routing::sent_work& work, std::uint64_t output_tokens, mono_time now);
+  void on_finished(const routing::sent_attempt& work, std::uint64_t output_tokens, mono_time now);
 
   // An attempt at the endpoint failed or succeeded. on_failure returns true if this failure newly
   // ejects the endpoint.
@@ -275,7 +275,7 @@
   void apply_leaving(const endpoint_process& process);
   [[nodiscard]] endpoint_work own_work_at(const endpoint_id& id) const;
   // Ends the waiting of an attempt: its answer has begun, or it ended without one.
-  void end_wait(endpoint_work& own, const routing::sent_work& work);
+  void end_wait(endpoint_work& own, const routing::sent_attempt& work);
 
   endpoint_pool_options options_;
   routing::routing_options routing_;
@@ -290,7 +290,7 @@
   endpoint_health health_;
   demand_meter meter_;
   routing::endpoint_table table_;
-  routing::prefix_belief prefixes_;
+  routing::prefix_cache_index prefixes_;
   prefix_traffic_meter prefix_traffic_;
   std::mt19937_64 random_;
   mono_time removals_held_until_;
--- a/include/wisteriaflow/routing/endpoint_table.h
+++ b/include/wisteriaflow/routing/endpoint_table.h
@@ -1,14 +1,15 @@
-// What one daemon knows of the endpoints it may send to: their description, their lagging load
-// reports, its own work since the report, and the rates it has measured.
+// The endpoints that one daemon may send to, with the state that routing decisions need: their
+// description, their delayed load reports, the daemon's own requests since the last report, and the
+// rates measured from these requests.
 //
 // Endpoints are addressed by a slot, a small number that is stable while the endpoint is in the
-// table and reused afterwards.
+// table and is reused afterwards.
 //
 //   endpoint_table table({});
 //   const auto slot = table.upsert({.id = endpoint_id("e1"), .address = "10.0.0.7:8000"});
-//   auto work = table.on_sent(slot, 900, now);
-//   table.on_first_token(work, later);
-//   table.on_finished(work, 120, last);
+//   auto attempt = table.on_sent(slot, 900, now);
+//   table.on_first_token(attempt, later);
+//   table.on_finished(attempt, 120, last);
 
 #ifndef WISTERIAFLOW_ROUTING_ENDPOINT_TABLE_H_
 #define WISTERIAFLOW_ROUTING_ENDPOINT_TABLE_H_
@@ -31,7 +32,7 @@
 // Index of an endpoint in an `endpoint_table`.
 using endpoint_slot = std::uint32_t;
 
-// What the instance list and the declared objects say of an endpoint.
+// Properties of an endpoint, from the instance list and the declared objects.
 struct endpoint_description {
   endpoint_id id;
   std::string address; // host:port
@@ -44,76 +45,78 @@
   friend bool operator==(const endpoint_description&, const endpoint_description&) = default;
 };
 
-// An engine's own report of its load, true at `measured_at` and received later.
+// The load that an engine reported: its state at `measured_at`, received some time later.
 struct load_report {
   int running = 0;
   int waiting = 0;
-  int max_running = 1;
-  // Prompt tokens that requests of other daemons wait to have computed; absent where only their
-  // number is known.
+  int max_running = 1; // batch places: requests that the engine runs at the same time
+  // Prompt tokens in the waiting requests of other daemons; absent if only the number of requests
+  // is known.
   std::optional<double> others_waiting_tokens = std::nullopt;
   mono_time measured_at;
 
   friend bool operator==(const load_report&, const load_report&) = default;
 };
 
-// One attempt that this daemon has sent to an endpoint; the caller keeps it until the attempt ends.
-struct sent_work {
+// Handle of an attempt that this daemon has sent to an endpoint. The caller keeps it until the
+// attempt ends.
+struct sent_attempt {
   endpoint_slot slot = 0;
-  std::uint64_t occupant = 0; // of the slot; see endpoint_table::holds
-  int prefill_tokens = 0;     // tokens that the endpoint was expected to compute
+  std::uint64_t slot_generation = 0; // see endpoint_table::is_current
+  int prefill_tokens = 0;            // prompt tokens that the endpoint was expected to compute
   mono_time sent_at;
   std::optional<mono_time> first_token_at;
-  bool found_idle = false; // a batch place was free and nothing known to wait when it was sent
+  // When it was sent, the endpoint had a free batch place and no known waiting requests.
+  bool sent_when_idle = false;
 
-  friend bool operator==(const sent_work&, const sent_work&) = default;
+  friend bool operator==(const sent_attempt&, const sent_attempt&) = default;
 };
 
 // Starting values and limits of an `endpoint_table`.
 struct endpoint_table_options {
-  double initial_prefill_rate = 8000; // tokens/s until measured
-  double initial_decode_seconds = 4;  // time that a request holds a batch place until measured
-  double initial_prefill_tokens = 500;
+  double initial_prefill_rate = 8000;  // tokens/s, until measured
+  double initial_decode_seconds = 4;   // time that a request occupies a batch place, until measured
+  double initial_prefill_tokens = 500; // per request, until measured
   double ewma_gain = 0.1;
-  int initial_max_running = 16;                   // until the first report
-  std::chrono::milliseconds connect_backoff{500}; // after the first failure, doubled after each
-  std::chrono::milliseconds connect_backoff_limit{30'000}; // longest time an endpoint is left out
-  std::size_t max_unreported_events = 256;                 // own events kept when no report comes
+  int initial_max_running = 16;                            // until the first report
+  std::chrono::milliseconds connect_backoff{500};          // after the first failure, then doubled
+  std::chrono::milliseconds connect_backoff_limit{30'000}; // longest exclusion of an endpoint
+  std::size_t max_unreported_events = 256; // own events kept while no report arrives
 };
 
-// How `endpoint_state::queue_seconds` reads a load report.
+// How `endpoint_state::queue_seconds` interprets a load report.
 struct queue_model {
-  bool own_work = true;        // corrects it by own work since
-  double uncertainty = 2;      // requests by which the count may be off; 0 takes it as exact
-  double fades_in_seconds = 0; // time constant with which the report counts less; 0: never
+  bool local_corrections = true; // corrects the report by own requests since
+  double uncertainty = 2;        // error of the reported count in requests; 0: exact
+  double decay_seconds = 0;      // time constant of the report's decay; 0: no decay
   mono_time now;
 };
 
-// The state kept of one endpoint. Read through `endpoint_table::at`.
+// The state of one endpoint, as returned by `endpoint_table::at`.
 struct endpoint_state {
   endpoint_description description;
-  std::uint64_t occupant = 0; // number of this use of the slot
+  std::uint64_t slot_generation = 0; // different for each use of the slot
   load_report report;
   bool leaving = false;
   int connect_failures = 0;
-  mono_time unreachable_until;     // left out before this
-  std::vector<mono_time> sent;     // own events after `report.measured_at`
+  mono_time unreachable_until;     // not a candidate before this time
+  std::vector<mono_time> sent;     // times of own events after `report.measured_at`
   std::vector<mono_time> started;  // first tokens
-  std::vector<mono_time> finished; // ends of answers
+  std::vector<mono_time> finished; // ends of attempts
   int own_waiting = 0;             // own attempts without a first token
   std::int64_t own_waiting_tokens = 0;
   ewma prefill_rate;   // tokens/s
-  ewma decode_rate;    // tokens/s of one answer
-  ewma decode_seconds; // from first token to the end of an answer
-  ewma prefill_tokens; // of own attempts
+  ewma decode_rate;    // tokens/s of one response
+  ewma decode_seconds; // from the first token to the end of a response
+  ewma prefill_tokens; // per own attempt
 
-  // Requests waiting and running now: the report corrected by own work since.
+  // Estimated requests waiting and running now: the report corrected by own requests since.
   [[nodiscard]] int waiting_now() const;
   [[nodiscard]] int running_now() const;
-  // Time that a request sent now waits before its prefill starts, in seconds.
+  // Predicted time in seconds that a request sent now waits before its prefill starts.
   [[nodiscard]] double queue_seconds(const queue_model& model) const;
-  // Requests running and waiting over batch places: 1 when full, more with a queue.
-  [[nodiscard]] double crowding(bool own_work = true) const;
+  // Running and waiting requests divided by batch places: 1 when full, more with a queue.
+  [[nodiscard]] double batch_load(bool local_corrections = true) const;
 };
 
 // All endpoints that one daemon may send to.
@@ -121,10 +124,10 @@
  public:
   explicit endpoint_table(endpoint_table_options options);
 
-  // Adds an endpoint or replaces its description; what was learned of it is kept.
+  // Adds an endpoint, or replaces the description of a known one and keeps its measured state.
   endpoint_slot upsert(const endpoint_description& description);
 
-  // Removes an endpoint, if present. Its slot may be given to another endpoint afterwards.
+  // Removes an endpoint if present. Its slot may be reused for another endpoint.
   void remove(const endpoint_id& id);
 
   [[nodiscard]] std::optional<endpoint_slot> find(const endpoint_id& id) const;
@@ -135,50 +138,54 @@
   // Slots in use, in ascending order.
   [[nodiscard]] const std::vector<endpoint_slot>& slots() const { return used_; }
 
-  // Whether the endpoint that `work` was sent to is still in the table. Its slot may have been
-  // given to another, or to the same one after a restart: what becomes of the work says nothing of
-  // that.
-  [[nodiscard]] bool holds(const sent_work& work) const;
+  // Whether the endpoint that `attempt` was sent to is still in the table. If its slot has been
+  // reused, by another endpoint or by the same one after a restart, the outcome of the attempt says
+  // nothing about the endpoint that is in the slot now.
+  [[nodiscard]] bool is_current(const sent_attempt& attempt) const;
 
-  // A report older than the one held is ignored.
+  // Stores a load report. A report older than the stored one is ignored.
   void on_report(endpoint_slot slot, const load_report& report);
 
-  // The endpoint was told to leave; it gets no new work. Not undone by `upsert`.
+  // Marks an endpoint as leaving: it gets no new requests. `upsert` does not undo this.
   void on_leaving(endpoint_slot slot);
 
-  // An attempt whose prompt needs about `prefill_tokens` computed was sent at `now`.
-  [[nodiscard]] sent_work on_sent(endpoint_slot slot, int prefill_tokens, mono_time now);
+  // Records an attempt that was sent at `now` and for which the endpoint has to compute about
+  // `prefill_tokens` prompt tokens.
+  [[nodiscard]] sent_attempt on_sent(endpoint_slot slot, int prefill_tokens, mono_time now);
 
-  // Its first token arrived. Does nothing the second time.
-  void on_first_token(sent_work& work, mono_time now);
+  // Records the arrival of the first token. Further calls for the same attempt have no effect.
+  void on_first_token(sent_attempt& attempt, mono_time now);
 
-  // It ended, whole or not, after `output_tokens`.
-  void on_finished(const sent_work& work, int output_tokens, mono_time now);
+  // Records the end of an attempt, complete or not, after `output_tokens`.
+  void on_finished(const sent_attempt& attempt, int output_tokens, mono_time now);
 
-  // A connection failed: the endpoint is left out for a time that doubles with each failure.
+  // Records a failed connection: the endpoint is not a candidate for a time that doubles with each
+  // consecutive failure.
   void on_connect_failure(endpoint_slot slot, mono_time now);
+  // Records a successful connection, which resets the backoff.
   void on_connected(endpoint_slot slot);
 
-  // Share of batch places in use over those of `slots` that take new work; 1 if there are none.
+  // Fraction of batch places in use over those endpoints of `slots` that are not leaving; 1 if
+  // there are none.
   [[nodiscard]] double utilisation(std::span<const endpoint_slot> slots) const;
-  // The same over all endpoints, for an overview: places of plain services would hide a full pool
-  // of engines, so admission takes that of the request's own candidates.
+  // The same over all endpoints, for an overview. Admission uses the utilisation of a request's own
+  // candidates instead, because the places of plain services would hide a full pool of engines.
   [[nodiscard]] double utilisation() const { return utilisation(used_); }
 
-  // Memory held, in bytes, for the capacity page.
+  // Memory used, in bytes, for the capacity page.
   [[nodiscard]] std::size_t memory_bytes() const;
 
  private:
   endpoint_state& state(endpoint_slot slot);
-  // The endpoint of `work`, unless it has been removed since.
-  endpoint_state* state_of(const sent_work& work);
-  void keep_event(std::vector<mono_time>& events, mono_time at) const;
+  // The endpoint of `attempt`; null if it has been removed since.
+  endpoint_state* state_of(const sent_attempt& attempt);
+  void append_event(std::vector<mono_time>& events, mono_time at) const;
 
   endpoint_table_options options_;
   std::vector<std::optional<endpoint_state>> states_;
   std::vector<endpoint_slot> used_;
   std::unordered_map<endpoint_id, endpoint_slot> by_id_;
-  std::uint64_t occupants_ = 0; // so far
+  std::uint64_t last_slot_generation_ = 0; // of the endpoint added last
 };
 
 } // namespace wisteriaflow::routing
--- a/include/wisteriaflow/routing/errors.h
+++ b/include/wisteriaflow/routing/errors.h
@@ -7,7 +7,7 @@
 
 namespace wisteriaflow::routing {
 
-// A call named an endpoint slot that is not in the table.
+// Thrown when a call names an endpoint slot that is not in the table.
 class unknown_endpoint : public error {
  public:
   using error::error;
--- a/include/wisteriaflow/routing/ewma.h
+++ b/include/wisteriaflow/routing/ewma.h
@@ -1,11 +1,12 @@
-// An exponentially weighted moving average whose first sample is taken whole.
+// An exponentially weighted moving average (EWMA) that starts at its first sample.
 
 #ifndef WISTERIAFLOW_ROUTING_EWMA_H_
 #define WISTERIAFLOW_ROUTING_EWMA_H_
 
 namespace wisteriaflow::routing {
 
-// Starts at a default that the first sample replaces; each later sample moves the value by `gain`.
+// Holds an initial value until the first sample replaces it. Each later sample moves the value
+// towards the sample by the fraction `gain` of the difference.
 class ewma {
  public:
   // `initial` is the value before any sample; `gain` is in (0, 1].
@@ -18,6 +19,7 @@
   }
 
   [[nodiscard]] double value() const { return value_; }
+  // Whether any sample has been added.
   [[nodiscard]] bool sampled() const { return sampled_; }
 
  private:
--- a/include/wisteriaflow/routing/prefix_belief.h
+++ b/include/wisteriaflow/routing/prefix_belief.h
@@ -1,7 +1,13 @@
-// Which endpoints probably hold which prompt prefixes in their cache.
+// An index of the prompt prefixes that each endpoint probably has in its KV cache.
 //
-// Fed by what this daemon sent (certain, at once) and by the engines' cache events (late, with
-// gaps), and forgotten when not touched for long. Memory is bounded.
+// It is updated from the prompts that this daemon sends (certain and immediate) and from the cache
+// events of the engines (delayed and incomplete). Entries expire when they are not updated for
+// long, and the number of entries is bounded.
+//
+//   prefix_cache_index index({});
+//   index.on_sent(slot, blocks, now);
+//   std::vector<std::uint32_t> matched(slot_count, 0);
+//   index.match(blocks, now, matched);
 
 #ifndef WISTERIAFLOW_ROUTING_PREFIX_BELIEF_H_
 #define WISTERIAFLOW_ROUTING_PREFIX_BELIEF_H_
@@ -19,7 +25,7 @@
 
 namespace wisteriaflow::routing {
 
-// An engine's notice that a block entered or left its cache.
+// An engine's report that a prefix block was stored in or evicted from its cache.
 struct cache_event {
   enum class kind { stored, evicted };
 
@@ -30,55 +36,59 @@
   friend bool operator==(const cache_event&, const cache_event&) = default;
 };
 
-// Limits of a `prefix_belief`.
-struct prefix_belief_options {
+// Limits of a `prefix_cache_index`.
+struct prefix_cache_index_options {
   std::size_t max_blocks = 65'536;
-  std::chrono::seconds forget_after{600}; // without being sent or reported again
-  // An eviction reported within this time of an own send is older than the send: it is ignored.
-  std::chrono::milliseconds event_lag{3'000};
+  std::chrono::seconds expire_after{600}; // since the block was last sent or reported
+  // An eviction reported within this time after this daemon sent the block is ignored, since the
+  // event is delayed and its eviction took place before the send.
+  std::chrono::milliseconds max_event_delay{3'000};
 };
 
-// Bounded memory of prefix blocks. Not thread-safe; one daemon's core owns one.
-class prefix_belief {
+// A bounded index from prefix blocks to endpoint slots. Not thread-safe; owned by the daemon's
+// core.
+class prefix_cache_index {
  public:
-  explicit prefix_belief(prefix_belief_options options);
+  explicit prefix_cache_index(prefix_cache_index_options options);
 
-  // A prompt with these blocks was sent to `slot`, which will hold them all.
+  // Records that a prompt with these blocks was sent to `slot`, which will have all of them cached.
   void on_sent(endpoint_slot slot, std::span<const std::uint64_t> blocks, mono_time now);
 
-  // An event of the engine in `slot`. Repeated and reordered events are harmless.
+  // Applies a cache event of the engine in `slot`. Duplicate and reordered events are tolerated.
   void on_event(endpoint_slot slot, const cache_event& event, mono_time now);
 
-  // The endpoint in `slot` is gone or restarted with an empty cache.
-  void forget(endpoint_slot slot);
+  // Removes all entries of the endpoint in `slot`, which is gone or has restarted with an empty
+  // cache.
+  void remove_endpoint(endpoint_slot slot);
 
-  // Number of leading blocks that each slot is believed to hold: `matched[slot]` is raised for the
-  // slots below `matched.size()`, which the caller has set to 0.
+  // Counts the leading blocks that each slot probably has cached. Sets `matched[slot]` for the
+  // slots below `matched.size()`; the caller initialises `matched` to 0.
   void match(std::span<const std::uint64_t> blocks, mono_time now,
              std::span<std::uint32_t> matched) const;
 
-  // Blocks remembered, at most `max_blocks`.
-  [[nodiscard]] std::size_t size() const { return recent_.size() + older_.size(); }
+  // Number of indexed blocks, at most `max_blocks`.
+  [[nodiscard]] std::size_t size() const { return recent_blocks_.size() + older_blocks_.size(); }
+  // Memory used, in bytes.
   [[nodiscard]] std::size_t memory_bytes() const;
 
  private:
   struct holder {
-    mono_time seen;
+    mono_time last_seen;
     endpoint_slot slot = 0;
-    bool sent_by_us = false;
+    bool sent_by_this_daemon = false;
   };
   using holders = std::vector<holder>;
   using generation = boost::unordered_flat_map<std::uint64_t, holders>;
 
   holders& touch(std::uint64_t block);
   const holders* find(std::uint64_t block) const;
-  void remember(std::uint64_t block, const holder& seen);
+  void record_holder(std::uint64_t block, const holder& update);
 
-  prefix_belief_options options_;
-  // Two generations stand for an LRU list: a touched block moves to `recent_`, and when that is
-  // full, `older_` is dropped whole.
-  generation recent_;
-  generation older_;
+  prefix_cache_index_options options_;
+  // Two generations approximate an LRU list: a touched block moves to `recent_blocks_`. When that
+  // is full, it becomes `older_blocks_`, whose previous content is dropped.
+  generation recent_blocks_;
+  generation older_blocks_;
 };
 
 } // namespace wisteriaflow::routing
--- a/samples/03_choose_endpoint.cc
+++ b/samples/03_choose_endpoint.cc
@@ -47,7 +47,7 @@
 {
   const mono_time now{1h}; // any point in time: the library reads no clock
   const auto table = make_table(now);
-  const routing::prefix_belief prefixes({});
+  const routing::prefix_cache_index prefixes({});
   const routing::routing_options options{.availability_zone = availability_zone("zone-a")};
   const routing::routing_view view{.endpoints = table, .prefixes = prefixes, .options = options};
   const routing::request_view request{.prompt_tokens = 800,
--- a/src/admission/admission_control.cc
+++ b/src/admission/admission_control.cc
@@ -6,10 +6,10 @@
 namespace wisteriaflow::admission {
 namespace {
 
-constexpr double drain_gain = 0.05;
-constexpr double shortest_gap = 1e-6; // s, between two ends
-constexpr double slowest_drain = 1;   // requests/s assumed until measured
-constexpr std::chrono::milliseconds shortest_retry{50};
+constexpr double drain_rate_gain = 0.05;
+constexpr double min_gap_seconds = 1e-6; // between two finished requests
+constexpr double min_drain_rate = 1;     // requests/s, lower bound for spacing the retry times
+constexpr std::chrono::milliseconds min_retry_delay{50};
 
 mono_time after(mono_time now, double s)
 {
@@ -20,22 +20,22 @@
 
 admission_control::admission_control(admission_options options,
                                      workspace_limiter_options limiter_options)
-    : options_(options), shares_(std::move(limiter_options))
+    : options_(options), limiter_(std::move(limiter_options))
 {
 }
 
-mono_time admission_control::place_in_queue(mono_time base, double seconds,
-                                            mono_time& promised) const
+mono_time admission_control::schedule_retry(mono_time earliest, double spacing_seconds,
+                                            mono_time& last_assigned) const
 {
-  const auto limit = base + options_.longest_retry;
-  promised = std::min(limit, after(std::max(base, promised), seconds));
-  return promised;
+  const auto limit = earliest + options_.max_retry_delay;
+  last_assigned = std::min(limit, after(std::max(earliest, last_assigned), spacing_seconds));
+  return last_assigned;
 }
 
 mono_time admission_control::with_jitter(mono_time at, mono_time now, std::mt19937_64& rng) const
 {
-  const auto wait = std::max<mono_time::duration>(at - now, shortest_retry);
-  std::uniform_real_distribution<double> uniform(0, options_.jitter);
+  const auto wait = std::max<mono_time::duration>(at - now, min_retry_delay);
+  std::uniform_real_distribution<double> uniform(0, options_.max_jitter_fraction);
   const double seconds = std::chrono::duration<double>(wait).count();
   return now + wait + (after(now, seconds * uniform(rng)) - now);
 }
@@ -43,16 +43,17 @@
 std::optional<refused> admission_control::check(const admission_request& request, mono_time now)
 {
   if (in_flight_ >= options_.max_in_flight) {
-    const double each = 1 / std::max(drain_rate_, slowest_drain);
-    return refused{refusal_reason::daemon_full, place_in_queue(now, each, promised_)};
+    const double each = 1 / std::max(drain_rate_, min_drain_rate);
+    return refused{refusal_reason::daemon_full, schedule_retry(now, each, last_assigned_retry_)};
   }
-  const bool crowded = in_flight_ >= options_.max_in_flight * options_.batch_in_flight ||
-                       request.utilisation >= options_.batch_utilisation;
-  if (request.priority == request_priority::batch && crowded) {
-    return refused{refusal_reason::batch_gives_way, now + options_.batch_retry};
+  const bool batch_limit_reached =
+      in_flight_ >= options_.max_in_flight * options_.max_batch_in_flight_share ||
+      request.utilisation >= options_.max_batch_utilisation;
+  if (request.priority == request_priority::batch && batch_limit_reached) {
+    return refused{refusal_reason::batch_shed, now + options_.batch_retry_delay};
   }
   if (!request.first_token_at) {
-    return refused{refusal_reason::no_endpoint, now + options_.no_endpoint_retry};
+    return refused{refusal_reason::no_endpoint, now + options_.no_endpoint_retry_delay};
   }
   if (*request.first_token_at > request.deadline) {
     const auto drained = now + (*request.first_token_at - request.deadline);
@@ -64,17 +65,18 @@
 admission admission_control::admit(const admission_request& request, mono_time now,
                                    std::mt19937_64& rng)
 {
-  if (auto no = check(request, now)) {
-    no->retry_at = with_jitter(no->retry_at, now, rng);
-    return *no;
+  if (auto refusal = check(request, now)) {
+    refusal->retry_at = with_jitter(refusal->retry_at, now, rng);
+    return *refusal;
   }
-  if (const auto over = shares_.admit(request.workspace, request.tokens, now)) {
+  if (const auto over = limiter_.admit(request.workspace, request.tokens, now)) {
     if (!over->unit) {
       return refused{refusal_reason::unknown_workspace, over->retry_at};
     }
-    const double rate = shares_.allowance(request.workspace)[share_unit::tokens_per_second];
+    const double rate = limiter_.allowance(request.workspace)[share_unit::tokens_per_second];
     const double each = rate > 0 ? request.tokens / rate : 1;
-    const auto at = place_in_queue(over->retry_at, each, promised_to_[request.workspace]);
+    const auto at =
+        schedule_retry(over->retry_at, each, last_assigned_retry_by_workspace_[request.workspace]);
     return refused{refusal_reason::over_share, with_jitter(at, now, rng)};
   }
   ++in_flight_;
@@ -84,15 +86,16 @@
 void admission_control::finish(const admitted& request, double used_tokens, mono_time now)
 {
   in_flight_ = std::max(0, in_flight_ - 1);
-  shares_.finish(request.workspace, request.tokens, used_tokens, now);
-  if (last_end_) {
-    // The mean gap is smoothed, not the rate: gaps of bursts would make the rate too high.
+  limiter_.finish(request.workspace, request.tokens, used_tokens, now);
+  if (last_finish_at_) {
+    // Averages the gaps between finished requests rather than the rate: the short gaps of a burst
+    // would make an averaged rate too high.
     const double gap =
-        std::max(shortest_gap, std::chrono::duration<double>(now - *last_end_).count());
+        std::max(min_gap_seconds, std::chrono::duration<double>(now - *last_finish_at_).count());
     const double mean_gap = drain_rate_ > 0 ? 1 / drain_rate_ : gap;
-    drain_rate_ = 1 / (mean_gap + drain_gain * (gap - mean_gap));
+    drain_rate_ = 1 / (mean_gap + drain_rate_gain * (gap - mean_gap));
   }
-  last_end_ = now;
+  last_finish_at_ = now;
 }
 
 std::string_view to_string(refusal_reason reason)
@@ -104,7 +107,7 @@
     return "over the workspace's share";
   case refusal_reason::daemon_full:
     return "too many requests in flight";
-  case refusal_reason::batch_gives_way:
+  case refusal_reason::batch_shed:
     return "batch work gives way";
   case refusal_reason::deadline_unreachable:
     return "the deadline cannot be met";
--- a/src/admission/max_min_fair.cc
+++ b/src/admission/max_min_fair.cc
@@ -12,16 +12,16 @@
   std::iota(order.begin(), order.end(), std::size_t{0});
   std::sort(order.begin(), order.end(),
             [&](std::size_t a, std::size_t b) { return demands[a] < demands[b]; });
-  std::vector<double> parts(demands.size(), 0);
-  double left = std::max(0.0, capacity);
-  std::size_t remaining = demands.size();
+  std::vector<double> allocations(demands.size(), 0);
+  double remaining_capacity = std::max(0.0, capacity);
+  std::size_t remaining_demands = demands.size();
   for (const auto i : order) {
-    const double even = left / static_cast<double>(remaining);
-    parts[i] = std::clamp(demands[i], 0.0, even);
-    left -= parts[i];
-    --remaining;
+    const double fair_share = remaining_capacity / static_cast<double>(remaining_demands);
+    allocations[i] = std::clamp(demands[i], 0.0, fair_share);
+    remaining_capacity -= allocations[i];
+    --remaining_demands;
   }
-  return parts;
+  return allocations;
 }
 
 } // namespace wisteriaflow::admission
--- a/src/admission/workspace_limiter.cc
+++ b/src/admission/workspace_limiter.cc
@@ -10,10 +10,10 @@
 namespace wisteriaflow::admission {
 namespace {
 
-constexpr std::array all_units = {share_unit::requests_per_second, share_unit::tokens_per_second,
-                                  share_unit::tokens_in_flight};
-constexpr double longest_retry_seconds = 60;
-constexpr double shortest_refresh = 0.01; // s; sooner than that a rate can't be measured
+constexpr std::array all_share_units = {
+    share_unit::requests_per_second, share_unit::tokens_per_second, share_unit::tokens_in_flight};
+constexpr double max_retry_seconds = 60;
+constexpr double min_refresh_seconds = 0.01; // s; a shorter interval is too short to measure a rate
 
 mono_time after(mono_time now, double s)
 {
@@ -25,12 +25,13 @@
   return std::accumulate(values.begin(), values.end(), 0.0);
 }
 
-// The first one's part of `capacity` by demand, and of what is left over one in `headroom_parts`.
-double local_part(double capacity, const std::vector<double>& demands, double headroom_parts)
+// The allowance of the first daemon in `demands`: its max-min fair part of `capacity`, plus the
+// capacity without demand divided by `headroom_divisor`.
+double local_allowance(double capacity, const std::vector<double>& demands, double headroom_divisor)
 {
   const auto parts = max_min_fair(capacity, demands);
   const double left = std::max(0.0, capacity - total(parts));
-  return parts.front() + left / headroom_parts;
+  return parts.front() + left / headroom_divisor;
 }
 
 } // namespace
@@ -42,10 +43,11 @@
 
 workspace_limiter::account workspace_limiter::make_account(const share_amounts& share) const
 {
-  // Until measured, the demand here is taken as an even part, as for daemons not heard of.
+  // Until it is measured, the local demand is assumed to be an even part, as for daemons that have
+  // not reported.
   share_amounts even = share;
   for (auto& value : even.values) {
-    value /= std::max(1, daemons_);
+    value /= std::max(1, daemon_count_);
   }
   return {.share = share,
           .demand = even,
@@ -63,7 +65,7 @@
   refresh(now);
 }
 
-void workspace_limiter::on_demand(const demand_report& report)
+void workspace_limiter::on_demand_report(const demand_report& report)
 {
   if (report.daemon != options_.self) {
     peers_.insert_or_assign(report.daemon, report);
@@ -72,16 +74,16 @@
 
 demand_report workspace_limiter::local_demand(mono_time now) const
 {
-  demand_report report{.daemon = options_.self, .good_until = now + options_.report_good_for};
+  demand_report report{.daemon = options_.self, .valid_until = now + options_.report_validity};
   for (const auto& [workspace, it] : accounts_) {
     report.demand.emplace(workspace, it.demand);
   }
   return report;
 }
 
-void workspace_limiter::measure(account& it, double elapsed) const
+void workspace_limiter::update_demand(account& it, double elapsed) const
 {
-  const double smoothing = std::chrono::duration<double>(options_.smoothing).count();
+  const double smoothing = std::chrono::duration<double>(options_.demand_time_constant).count();
   const double weight = 1 - std::exp(-elapsed / smoothing);
   for (const auto unit : {share_unit::requests_per_second, share_unit::tokens_per_second}) {
     const double rate = it.offered[unit] / elapsed;
@@ -96,23 +98,23 @@
 
 int workspace_limiter::fleet_size() const
 {
-  return std::max(daemons_, static_cast<int>(peers_.size()) + 1);
+  return std::max(daemon_count_, static_cast<int>(peers_.size()) + 1);
 }
 
-double workspace_limiter::headroom_parts() const
+double workspace_limiter::headroom_divisor() const
 {
   return std::max(1.0, fleet_size() / options_.headroom_overcommit);
 }
 
-void workspace_limiter::gather()
+void workspace_limiter::collect_peer_demand()
 {
   for (auto& [workspace, it] : accounts_) {
-    it.heard.clear();
+    it.peer_demand.clear();
   }
   for (const auto& [daemon, report] : peers_) {
     for (const auto& [workspace, demand] : report.demand) {
       if (const auto it = accounts_.find(workspace); it != accounts_.end()) {
-        it->second.heard.push_back(demand);
+        it->second.peer_demand.push_back(demand);
       }
     }
   }
@@ -121,53 +123,57 @@
 std::vector<double> workspace_limiter::demands(const account& it, share_unit unit) const
 {
   std::vector<double> found = {it.demand[unit]};
-  for (const auto& demand : it.heard) {
+  for (const auto& demand : it.peer_demand) {
     if (demand[unit] > 0) {
       found.push_back(demand[unit]);
     }
   }
-  const int silent = daemons_ - 1 - static_cast<int>(peers_.size());
-  found.resize(found.size() + static_cast<std::size_t>(std::max(0, silent)),
-               it.share[unit] / std::max(1, daemons_));
+  const int unreported = daemon_count_ - 1 - static_cast<int>(peers_.size());
+  found.resize(found.size() + static_cast<std::size_t>(std::max(0, unreported)),
+               it.share[unit] / std::max(1, daemon_count_));
   return found;
 }
 
-void workspace_limiter::derive(share_unit unit)
+void workspace_limiter::update_allowances(share_unit unit)
 {
   const int daemons = fleet_size();
-  std::vector<double> wanted;      // beyond the own share, for each workspace
-  std::vector<double> wanted_here; // this daemon's part of the demand
+  std::vector<double> excess_demand;   // demand beyond its own share, per workspace
+  std::vector<double> local_fractions; // part of the workspace's demand that is at this daemon
   std::vector<double> unused;
   for (auto& [workspace, it] : accounts_) {
-    const auto asked = demands(it, unit);
-    const double fleet = total(asked);
-    it.allowance[unit] = local_part(it.share[unit], asked, headroom_parts());
-    wanted.push_back(std::max(0.0, fleet - it.share[unit]));
-    wanted_here.push_back(fleet > 0 ? asked.front() / fleet : 1.0 / daemons);
-    unused.push_back(std::max(0.0, it.share[unit] - fleet));
+    const auto daemon_demands = demands(it, unit);
+    const double fleet_demand = total(daemon_demands);
+    it.allowance[unit] = local_allowance(it.share[unit], daemon_demands, headroom_divisor());
+    excess_demand.push_back(std::max(0.0, fleet_demand - it.share[unit]));
+    local_fractions.push_back(fleet_demand > 0 ? daemon_demands.front() / fleet_demand
+                                               : 1.0 / daemons);
+    unused.push_back(std::max(0.0, it.share[unit] - fleet_demand));
   }
   if (options_.lend) {
-    lend(unit, wanted, wanted_here, unused);
+    lend(unit, excess_demand, local_fractions, unused);
   }
 }
 
-void workspace_limiter::lend(share_unit unit, const std::vector<double>& wanted,
-                             const std::vector<double>& wanted_here,
+void workspace_limiter::lend(share_unit unit, const std::vector<double>& excess_demand,
+                             const std::vector<double>& local_fractions,
                              const std::vector<double>& unused)
 {
-  const double all = total(unused);
-  const auto lent = max_min_fair(all * options_.lent_part, wanted);
-  const double left = std::max(0.0, all * options_.lent_part - total(lent));
-  const double shares =
+  const double total_unused = total(unused);
+  const auto lent = max_min_fair(total_unused * options_.lend_fraction, excess_demand);
+  const double unlent = std::max(0.0, total_unused * options_.lend_fraction - total(lent));
+  const double total_share =
       std::accumulate(accounts_.begin(), accounts_.end(), 0.0,
                       [unit](double sum, const auto& it) { return sum + it.second.share[unit]; });
   std::size_t i = 0;
   for (auto& [workspace, it] : accounts_) {
-    it.allowance[unit] += lent[i] * wanted_here[i];
-    // What nobody asks for yet is headroom for all: a daemon's traffic is uneven, and a refusal
-    // while the fleet has room helps nobody. A workspace's own unused share is in its allowance.
-    const double of_others = all > 0 ? left * (all - unused[i]) / all : 0;
-    it.allowance[unit] += shares > 0 ? of_others * it.share[unit] / shares / headroom_parts() : 0;
+    it.allowance[unit] += lent[i] * local_fractions[i];
+    // Capacity that is neither used nor lent is headroom for all workspaces: the traffic of a
+    // daemon is uneven, and refusing requests while the fleet has spare capacity has no benefit. A
+    // workspace's own unused share is already part of its allowance.
+    const double unlent_by_others =
+        total_unused > 0 ? unlent * (total_unused - unused[i]) / total_unused : 0;
+    it.allowance[unit] +=
+        total_share > 0 ? unlent_by_others * it.share[unit] / total_share / headroom_divisor() : 0;
     ++i;
   }
 }
@@ -176,18 +182,18 @@
 {
   const double elapsed =
       refreshed_at_ ? std::chrono::duration<double>(now - *refreshed_at_).count() : 0;
-  if (elapsed >= shortest_refresh) {
+  if (elapsed >= min_refresh_seconds) {
     for (auto& [workspace, it] : accounts_) {
-      measure(it, elapsed);
+      update_demand(it, elapsed);
     }
   }
-  if (!refreshed_at_ || elapsed >= shortest_refresh) {
+  if (!refreshed_at_ || elapsed >= min_refresh_seconds) {
     refreshed_at_ = now;
   }
-  std::erase_if(peers_, [now](const auto& it) { return it.second.good_until <= now; });
-  gather();
-  for (const auto unit : all_units) {
-    derive(unit);
+  std::erase_if(peers_, [now](const auto& it) { return it.second.valid_until <= now; });
+  collect_peer_demand();
+  for (const auto unit : all_share_units) {
+    update_allowances(unit);
   }
   for (auto& [workspace, it] : accounts_) {
     it.requests.set_rate(it.allowance[share_unit::requests_per_second], now);
@@ -200,21 +206,22 @@
 {
   const double over = it.tokens_in_flight + tokens - it.allowance[share_unit::tokens_in_flight];
   const double rate = std::max(it.drain_rate, it.allowance[share_unit::tokens_per_second]);
-  const double wait = rate > 0 ? over / rate : longest_retry_seconds;
-  return after(now, std::clamp(wait, 0.0, longest_retry_seconds));
+  const double wait = rate > 0 ? over / rate : max_retry_seconds;
+  return after(now, std::clamp(wait, 0.0, max_retry_seconds));
 }
 
-std::optional<over_share> workspace_limiter::over_tokens(account& it, double tokens,
-                                                         mono_time now) const
+std::optional<over_share> workspace_limiter::check_tokens(account& it, double tokens,
+                                                          mono_time now) const
 {
-  // A call to a plain service has none: a debt of tokens is nothing to it.
+  // A call to a plain service has no tokens, so a debt of tokens must not delay it.
   if (tokens <= 0) {
     return std::nullopt;
   }
-  if (const auto at = it.tokens.open_at(now); at > now) {
+  if (const auto at = it.tokens.next_allowed_at(now); at > now) {
     return over_share{.unit = share_unit::tokens_per_second, .retry_at = at};
   }
-  // A request larger than the allowance runs alone rather than never.
+  // A request larger than the allowance is admitted if no other is in flight; otherwise it could
+  // never run.
   const bool fits = it.tokens_in_flight + tokens <= it.allowance[share_unit::tokens_in_flight];
   if (fits || it.tokens_in_flight <= 0) {
     return std::nullopt;
@@ -229,19 +236,19 @@
 {
   const auto found = accounts_.find(workspace);
   if (found == accounts_.end()) {
-    return over_share{.retry_at = after(now, longest_retry_seconds)};
+    return over_share{.retry_at = after(now, max_retry_seconds)};
   }
   auto& it = found->second;
   it.offered[share_unit::requests_per_second] += 1;
   it.offered[share_unit::tokens_per_second] += tokens;
-  if (const auto at = it.requests.open_at(now); at > now) {
+  if (const auto at = it.requests.next_allowed_at(now); at > now) {
     return over_share{.unit = share_unit::requests_per_second, .retry_at = at};
   }
-  if (auto over = over_tokens(it, tokens, now)) {
+  if (auto over = check_tokens(it, tokens, now)) {
     return over;
   }
-  it.requests.take(1, now);
-  it.tokens.take(tokens, now);
+  it.requests.consume(1, now);
+  it.tokens.consume(tokens, now);
   it.tokens_in_flight += tokens;
   return std::nullopt;
 }
@@ -256,7 +263,7 @@
   auto& it = found->second;
   it.tokens_in_flight = std::max(0.0, it.tokens_in_flight - tokens);
   it.finished_tokens += tokens;
-  it.tokens.take(used - tokens, now);
+  it.tokens.consume(used - tokens, now);
 }
 
 share_amounts workspace_limiter::allowance(const workspace_id& workspace) const
--- a/src/capacity/demand_window.cc
+++ b/src/capacity/demand_window.cc
@@ -5,7 +5,7 @@
 namespace wisteriaflow::capacity {
 namespace {
 
-pool_demand highest_of(const pool_demand& a, const pool_demand& b)
+pool_demand elementwise_max(const pool_demand& a, const pool_demand& b)
 {
   return {.requests = std::max(a.requests, b.requests),
           .prefill_tokens = std::max(a.prefill_tokens, b.prefill_tokens),
@@ -16,17 +16,18 @@
 
 pool_demand demand_window::add(const pool_demand& measured, mono_time now)
 {
-  while (!slots_.empty() && slots_.front().forgotten_at <= now) {
+  while (!slots_.empty() && slots_.front().expires_at <= now) {
     slots_.pop_front();
   }
-  if (slots_.empty() || slots_.back().ends <= now) {
-    slots_.push_back(
-        {.highest = measured, .ends = now + part_, .forgotten_at = now + part_ * slots});
+  if (slots_.empty() || slots_.back().ends_at <= now) {
+    slots_.push_back({.peak = measured,
+                      .ends_at = now + slot_length_,
+                      .expires_at = now + slot_length_ * slots});
   }
-  slots_.back().highest = highest_of(slots_.back().highest, measured);
+  slots_.back().peak = elementwise_max(slots_.back().peak, measured);
   pool_demand out = measured;
   for (const auto& s : slots_) {
-    out = highest_of(out, s.highest);
+    out = elementwise_max(out, s.peak);
   }
   return out;
 }
--- a/src/capacity/launch_ledger.cc
+++ b/src/capacity/launch_ledger.cc
@@ -61,14 +61,15 @@
 {
   std::vector<launch_record> out;
   if (document.is_null()) {
-    return out; // the lease's first holder finds none
+    return out; // the first holder of the lease finds no records
   }
   try {
     for (const auto& item : document.at("launches").as_array()) {
       out.push_back(decode_launch(item));
     }
   } catch (const std::exception& e) {
-    throw capacity_error(std::string("launches of the lease cannot be read: ") + e.what());
+    throw capacity_error(std::string("cannot decode the launches in the lease object: ") +
+                         e.what());
   }
   return out;
 }
--- a/src/capacity/lease_core.cc
+++ b/src/capacity/lease_core.cc
@@ -5,9 +5,7 @@
 
 namespace wisteriaflow::capacity::internal {
 
-lease_core::lease_core(lease_options options) : options_(std::move(options)), random_(options_.seed)
-{
-}
+lease_core::lease_core(lease_options options) : options_(std::move(options)), rng_(options_.seed) {}
 
 std::vector<lease_action> lease_core::take_actions()
 {
@@ -16,61 +14,62 @@
 
 bool lease_core::accept_answer(std::uint64_t call)
 {
-  if (open_call_ != call) {
+  if (pending_call_ != call) {
     return false;
   }
-  open_call_.reset();
+  pending_call_.reset();
   return true;
 }
 
-// Free: given back, or unchanged for its whole time since this daemon first saw it so.
-bool lease_core::is_free(const lease_found& e) const
+// A lease is claimable if it was released, or if this daemon has seen the same version for the
+// whole lease duration.
+bool lease_core::is_claimable(const lease_found& e) const
 {
-  return e.record.holder.empty() || (e.version == seen_version_ && free_at_ <= now_.mono);
+  return e.record.holder.empty() || (e.version == observed_version_ && claimable_at_ <= now_.mono);
 }
 
-bool lease_core::is_ours(const lease_found& e) const
+bool lease_core::is_own_write(const lease_found& e) const
 {
-  // The nonce alone is not enough: daemons that start together may draw the same one.
-  return write_ && e.record.nonce == write_->record.nonce &&
-         e.record.holder == write_->record.holder;
+  // Comparing the nonce is not enough: daemons that start together may draw the same one.
+  return pending_write_ && e.record.nonce == pending_write_->record.nonce &&
+         e.record.holder == pending_write_->record.holder;
 }
 
-bool lease_core::is_base(const lease_found& e) const
+bool lease_core::is_write_base(const lease_found& e) const
 {
-  return write_ && e.version == write_->base;
+  return pending_write_ && e.version == pending_write_->base;
 }
 
 void lease_core::read()
 {
-  open_call_ = ++last_call_;
+  pending_call_ = ++last_call_;
   actions_.emplace_back(read_lease{.call = last_call_});
 }
 
-void lease_core::read_later()
+void lease_core::schedule_reread()
 {
   read_at_ = now_.mono + options_.retry_period;
 }
 
 void lease_core::observe(const lease_found& e)
 {
-  if (e.version != seen_version_) {
-    seen_version_ = e.version;
-    seen_holder_ = e.record.holder;
-    // The holder's own settings may differ from ours.
+  if (e.version != observed_version_) {
+    observed_version_ = e.version;
+    observed_holder_ = e.record.holder;
+    // The holder may be configured with a different duration; the longer one is used.
     const auto duration = std::max(e.record.duration, options_.duration);
-    free_at_ = now_.mono + duration + options_.skew_margin;
+    claimable_at_ = now_.mono + duration + options_.skew_margin;
   }
   read_at_ = now_.mono + options_.read_period;
-  if (now_.mono < free_at_) {
-    read_at_ = std::min(read_at_, free_at_); // not a whole period after it may be claimed
+  if (now_.mono < claimable_at_) {
+    read_at_ = std::min(read_at_, claimable_at_); // claim at once, not a period later
   }
 }
 
-void lease_core::claim_found(const lease_found& e)
+void lease_core::claim_existing(const lease_found& e)
 {
-  if (is_base(e)) {
-    send_write(); // an earlier claim may be under way: the same nonce keeps them one
+  if (is_write_base(e)) {
+    send_write(); // an earlier claim may still arrive; the same nonce makes both one write
     return;
   }
   notes_ = e.record.notes;
@@ -84,7 +83,7 @@
 
 void lease_core::claim_new()
 {
-  if (write_ && write_->base == 0) {
+  if (pending_write_ && pending_write_->base == 0) {
     send_write();
     return;
   }
@@ -104,52 +103,53 @@
   write(std::move(record), version_);
 }
 
-void lease_core::write_again()
+void lease_core::resend_write()
 {
   send_write();
 }
 
 void lease_core::write(lease_record record, std::uint64_t base)
 {
-  // 53 bits, so that the number survives readers that keep numbers as doubles.
+  // 53 bits, so that readers that store numbers as doubles preserve the value.
   constexpr unsigned dropped_bits = 11;
-  record.nonce = (random_() >> dropped_bits) | 1U;
-  write_ = open_write{.record = std::move(record), .base = base, .sent_at = now_.mono};
+  record.nonce = (rng_() >> dropped_bits) | 1U;
+  pending_write_ = pending_write{.record = std::move(record), .base = base, .sent_at = now_.mono};
   send_write();
 }
 
 void lease_core::send_write()
 {
-  open_call_ = ++last_call_;
-  actions_.emplace_back(
-      write_lease{.call = last_call_, .record = write_->record, .version = write_->base});
+  pending_call_ = ++last_call_;
+  actions_.emplace_back(write_lease{
+      .call = last_call_, .record = pending_write_->record, .version = pending_write_->base});
 }
 
-// Counts from the first sending: others can have seen the write no earlier.
-void lease_core::become_holder(std::uint64_t version)
+void lease_core::on_acquired(std::uint64_t version)
 {
-  const bool had_holder = write_->base != 0;
+  const bool had_holder = pending_write_->base != 0;
   const auto wait =
       had_holder ? options_.order_timeout + options_.skew_margin : std::chrono::milliseconds{0};
-  // The former holder's right has ended; its last orders may still be on their way.
-  order_all_at_ = now_.mono + wait;
-  renewed(version);
+  // The former holder's lease has ended, but its last orders may still be in transit.
+  unfenced_orders_allowed_at_ = now_.mono + wait;
+  on_renewed(version);
 }
 
-void lease_core::renewed(std::uint64_t version)
+void lease_core::on_renewed(std::uint64_t version)
 {
-  record_ = write_->record;
+  record_ = pending_write_->record;
   version_ = version;
-  deadline_ = write_->sent_at + options_.duration;
-  renew_at_ = write_->sent_at + options_.renew_period;
-  seen_holder_ = options_.self;
-  write_.reset();
+  // The duration counts from when the write was first sent: no other daemon can have seen it
+  // earlier.
+  deadline_ = pending_write_->sent_at + options_.duration;
+  renew_at_ = pending_write_->sent_at + options_.renew_period;
+  observed_holder_ = options_.self;
+  pending_write_.reset();
   if (!notes_written()) {
     renew_at_ = now_.mono;
   }
 }
 
-void lease_core::give_back()
+void lease_core::release()
 {
   auto record = record_;
   record.notes = notes_;
@@ -157,21 +157,22 @@
   write(std::move(record), version_);
 }
 
-void lease_core::lose()
+void lease_core::on_lost()
 {
-  // A write that is still open cannot be waited for: it is settled by the next read, as another's.
-  write_.reset();
-  open_call_.reset();
-  seen_version_ = 0;
+  // The outcome of a pending write is not awaited; the next read treats it like a write of another
+  // daemon.
+  pending_write_.reset();
+  pending_call_.reset();
+  observed_version_ = 0;
   deadline_ = now_.mono;
   read_at_ = now_.mono;
 }
 
-void lease_core::done()
+void lease_core::on_released()
 {
-  write_.reset();
+  pending_write_.reset();
   deadline_ = now_.mono;
-  seen_holder_ = daemon_id();
+  observed_holder_ = daemon_id();
 }
 
 void lease_core::set_notes(const boost::json::value& notes)
--- a/src/capacity/lease_core.h
+++ b/src/capacity/lease_core.h
@@ -1,4 +1,4 @@
-// What a lease holder knows, and the steps that its state machine is made of.
+// The data of a lease client, with the guards and actions of its state machine.
 
 #ifndef WISTERIAFLOW_SRC_CAPACITY_LEASE_CORE_H_
 #define WISTERIAFLOW_SRC_CAPACITY_LEASE_CORE_H_
@@ -18,30 +18,31 @@
 
   void set_now(clock_reading now) { now_ = now; }
   [[nodiscard]] std::vector<lease_action> take_actions();
-  // Whether an answer belongs to the open call; the others are ignored.
+  // Whether an answer belongs to the pending call, which it completes; other answers are ignored.
   bool accept_answer(std::uint64_t call);
 
-  [[nodiscard]] bool awaits_answer() const { return open_call_.has_value(); }
+  [[nodiscard]] bool has_pending_call() const { return pending_call_.has_value(); }
 
   // Guards.
-  [[nodiscard]] bool is_free(const lease_found& e) const;
-  [[nodiscard]] bool is_ours(const lease_found& e) const;
-  // Our open write may still take effect: what it would replace stands.
-  [[nodiscard]] bool is_base(const lease_found& e) const;
+  [[nodiscard]] bool is_claimable(const lease_found& e) const;
+  [[nodiscard]] bool is_own_write(const lease_found& e) const;
+  // Whether the stored version is the one that the pending write replaces, so that this write may
+  // still take effect.
+  [[nodiscard]] bool is_write_base(const lease_found& e) const;
 
-  // Steps.
+  // Actions.
   void read();
-  void read_later();
+  void schedule_reread();
   void observe(const lease_found& e);
-  void claim_found(const lease_found& e);
+  void claim_existing(const lease_found& e);
   void claim_new();
   void renew();
-  void write_again();
-  void become_holder(std::uint64_t version);
-  void renewed(std::uint64_t version);
-  void give_back();
-  void lose();
-  void done();
+  void resend_write();
+  void on_acquired(std::uint64_t version);
+  void on_renewed(std::uint64_t version);
+  void release();
+  void on_lost();
+  void on_released();
 
   void set_notes(const boost::json::value& notes);
 
@@ -49,16 +50,16 @@
   [[nodiscard]] mono_time read_at() const { return read_at_; }
   [[nodiscard]] mono_time renew_at() const { return renew_at_; }
   [[nodiscard]] mono_time deadline() const { return deadline_; }
-  [[nodiscard]] mono_time order_all_at() const { return order_all_at_; }
+  [[nodiscard]] mono_time unfenced_orders_allowed_at() const { return unfenced_orders_allowed_at_; }
   [[nodiscard]] std::uint64_t fencing_number() const { return record_.fencing_number; }
   [[nodiscard]] const boost::json::value& notes() const { return notes_; }
   [[nodiscard]] bool notes_written() const { return record_.notes == notes_; }
-  [[nodiscard]] const daemon_id& last_seen_holder() const { return seen_holder_; }
+  [[nodiscard]] const daemon_id& last_seen_holder() const { return observed_holder_; }
 
  private:
-  struct open_write {
+  struct pending_write {
     lease_record record;
-    std::uint64_t base = 0; // the version that it replaces; 0 creates
+    std::uint64_t base = 0; // the version that it replaces; 0 creates the object
     mono_time sent_at;
   };
 
@@ -66,25 +67,25 @@
   void send_write();
 
   lease_options options_;
-  std::mt19937_64 random_;
+  std::mt19937_64 rng_;
   clock_reading now_;
   std::vector<lease_action> actions_;
   std::uint64_t last_call_ = 0;
-  std::optional<std::uint64_t> open_call_;
-  std::optional<open_write> write_;
+  std::optional<std::uint64_t> pending_call_;
+  std::optional<pending_write> pending_write_;
 
-  // As last observed of others.
-  daemon_id seen_holder_;
-  std::uint64_t seen_version_ = 0;
-  mono_time free_at_;
+  // The stored lease as last observed while this daemon does not hold it.
+  daemon_id observed_holder_;
+  std::uint64_t observed_version_ = 0;
+  mono_time claimable_at_;
   mono_time read_at_;
 
-  // As holder.
+  // State as the holder.
   lease_record record_; // as last written
   std::uint64_t version_ = 0;
   mono_time deadline_;
   mono_time renew_at_;
-  mono_time order_all_at_;
+  mono_time unfenced_orders_allowed_at_;
   boost::json::value notes_;
 };
 
--- a/src/capacity/lease_holder.cc
+++ b/src/capacity/lease_holder.cc
@@ -17,16 +17,17 @@
 using boost::msm::front::Row;
 using internal::lease_core;
 
-enum class phase { idle, reading, watching, claiming, holding, renewing, confirming, giving_back };
+enum class phase { idle, reading, waiting, claiming, holding, renewing, confirming, releasing };
 
-// Events of the machine's own.
+// Internal events of the state machine.
 struct wanted {};
 struct unwanted {};
 struct read_due {};
 struct renew_due {};
 struct expired {};
 
-// Calls a member of the core, with the event if it takes one.
+// Calls a member function of the core with the event, its version, or no argument, whichever the
+// function takes.
 template <auto member> struct call {
   template <typename event, typename machine, typename from, typename to>
   decltype(auto) operator()(const event& e, machine& fsm, from& /*source*/, to& /*target*/) const
@@ -61,63 +62,63 @@
 
   struct idle : named_state<phase::idle> {};
   struct reading : named_state<phase::reading> {};
-  struct watching : named_state<phase::watching> {};
+  struct waiting : named_state<phase::waiting> {};
   struct claiming : named_state<phase::claiming> {};
   struct holding : named_state<phase::holding> {};
   struct renewing : named_state<phase::renewing> {};
   struct confirming : named_state<phase::confirming> {};
-  struct giving_back : named_state<phase::giving_back> {};
+  struct releasing : named_state<phase::releasing> {};
   using initial_state = idle;
 
   using read = call<&lease_core::read>;
-  using read_later = call<&lease_core::read_later>;
+  using schedule_reread = call<&lease_core::schedule_reread>;
   using observe = call<&lease_core::observe>;
-  using become_holder = call<&lease_core::become_holder>;
+  using on_acquired = call<&lease_core::on_acquired>;
   using renew = call<&lease_core::renew>;
-  using renewed = call<&lease_core::renewed>;
-  using write_again = call<&lease_core::write_again>;
-  using lose = call<&lease_core::lose>;
-  using done = call<&lease_core::done>;
-  using ours = call<&lease_core::is_ours>;
-  using free = call<&lease_core::is_free>;
-  using base = call<&lease_core::is_base>;
-
-  // Of rows with the same state and event the last one whose guard holds is taken.
+  using on_renewed = call<&lease_core::on_renewed>;
+  using resend_write = call<&lease_core::resend_write>;
+  using on_lost = call<&lease_core::on_lost>;
+  using on_released = call<&lease_core::on_released>;
+  using is_own_write = call<&lease_core::is_own_write>;
+  using is_claimable = call<&lease_core::is_claimable>;
+  using is_write_base = call<&lease_core::is_write_base>;
+
+  // Of several rows with the same state and event, the last one whose guard is true applies.
   // clang-format off
   struct transition_table : boost::mpl::vector<
       Row<idle, wanted, reading, read>,
-      Row<reading, lease_found, watching, observe>,
-      Row<reading, lease_found, claiming, call<&lease_core::claim_found>, free>,
-      Row<reading, lease_found, holding, become_holder, ours>,
+      Row<reading, lease_found, waiting, observe>,
+      Row<reading, lease_found, claiming, call<&lease_core::claim_existing>, is_claimable>,
+      Row<reading, lease_found, holding, on_acquired, is_own_write>,
       Row<reading, lease_missing, claiming, call<&lease_core::claim_new>>,
-      Row<reading, lease_call_lost, watching, read_later>,
-      Row<watching, read_due, reading, read>,
-      Row<watching, unwanted, idle, done>,
-      Row<claiming, lease_written, holding, become_holder>,
+      Row<reading, lease_call_unanswered, waiting, schedule_reread>,
+      Row<waiting, read_due, reading, read>,
+      Row<waiting, unwanted, idle, on_released>,
+      Row<claiming, lease_written, holding, on_acquired>,
       Row<claiming, lease_conflict, reading, read>,
-      Row<claiming, lease_call_lost, watching, read_later>,
+      Row<claiming, lease_call_unanswered, waiting, schedule_reread>,
       Row<holding, renew_due, renewing, renew>,
-      Row<holding, expired, watching, lose>,
-      Row<holding, unwanted, giving_back, call<&lease_core::give_back>>,
-      Row<renewing, lease_written, holding, renewed>,
+      Row<holding, expired, waiting, on_lost>,
+      Row<holding, unwanted, releasing, call<&lease_core::release>>,
+      Row<renewing, lease_written, holding, on_renewed>,
       Row<renewing, lease_conflict, confirming, read>,
-      Row<renewing, lease_call_lost, confirming, read>,
-      Row<renewing, expired, watching, lose>,
-      Row<confirming, lease_found, watching, lose>,
-      Row<confirming, lease_found, renewing, write_again, base>,
-      Row<confirming, lease_found, holding, renewed, ours>,
-      Row<confirming, lease_missing, watching, lose>,
-      Row<confirming, lease_call_lost, confirming, read_later>,
+      Row<renewing, lease_call_unanswered, confirming, read>,
+      Row<renewing, expired, waiting, on_lost>,
+      Row<confirming, lease_found, waiting, on_lost>,
+      Row<confirming, lease_found, renewing, resend_write, is_write_base>,
+      Row<confirming, lease_found, holding, on_renewed, is_own_write>,
+      Row<confirming, lease_missing, waiting, on_lost>,
+      Row<confirming, lease_call_unanswered, confirming, schedule_reread>,
       Row<confirming, read_due, confirming, read>,
-      Row<confirming, expired, watching, lose>,
-      Row<giving_back, lease_written, idle, done>,
-      Row<giving_back, lease_conflict, idle, done>,
-      Row<giving_back, lease_call_lost, idle, done>,
-      Row<giving_back, expired, idle, done>
+      Row<confirming, expired, waiting, on_lost>,
+      Row<releasing, lease_written, idle, on_released>,
+      Row<releasing, lease_conflict, idle, on_released>,
+      Row<releasing, lease_call_unanswered, idle, on_released>,
+      Row<releasing, expired, idle, on_released>
       > {};
   // clang-format on
 
-  // What a state does not wait for changes nothing.
+  // Events that a state has no row for are ignored.
   template <typename event, typename machine>
   void no_transition(const event& /*e*/, machine& /*fsm*/, int /*state*/)
   {
@@ -131,19 +132,19 @@
 
 } // namespace
 
-class lease_holder::machine {
+class lease_client::machine {
  public:
   explicit machine(lease_options options) : fsm_(std::move(options)) { fsm_.start(); }
 
   std::vector<lease_action> handle(const lease_event& event, clock_reading now)
   {
     fsm_.core.set_now(now);
-    // The right ends before anything else is looked at: the event may have waited.
+    // Expiry is checked before the event is processed, since the event may have been delayed.
     if (is_holder() && core().deadline() <= now.mono) {
       fsm_.process_event(expired{});
     }
     std::visit([this](const auto& e) { on(e); }, event);
-    pass_deadlines(now.mono);
+    process_due_timers(now.mono);
     return fsm_.core.take_actions();
   }
 
@@ -154,15 +155,15 @@
     case phase::reading:
     case phase::claiming:
       return std::nullopt;
-    case phase::watching:
+    case phase::waiting:
       return core().read_at();
     case phase::holding:
       return std::min(core().renew_at(), core().deadline());
     case phase::confirming:
-      return core().awaits_answer() ? core().deadline()
-                                    : std::min(core().read_at(), core().deadline());
+      return core().has_pending_call() ? core().deadline()
+                                       : std::min(core().read_at(), core().deadline());
     case phase::renewing:
-    case phase::giving_back:
+    case phase::releasing:
       return core().deadline();
     }
     return std::nullopt;
@@ -171,13 +172,13 @@
   [[nodiscard]] bool is_holder() const
   {
     return fsm_.current == phase::holding || fsm_.current == phase::renewing ||
-           fsm_.current == phase::confirming || fsm_.current == phase::giving_back;
+           fsm_.current == phase::confirming || fsm_.current == phase::releasing;
   }
   [[nodiscard]] bool is_idle() const { return fsm_.current == phase::idle; }
-  // Orders end when the lease is being given back.
-  [[nodiscard]] bool gives_orders() const
+  // No orders are issued once the release of the lease has begun.
+  [[nodiscard]] bool may_give_orders() const
   {
-    return is_holder() && fsm_.current != phase::giving_back;
+    return is_holder() && fsm_.current != phase::releasing;
   }
   [[nodiscard]] const lease_core& core() const { return fsm_.core; }
 
@@ -192,19 +193,20 @@
     }
   }
 
-  void pass_deadlines(mono_time now)
+  void process_due_timers(mono_time now)
   {
     if (!wanted_) {
-      fsm_.process_event(unwanted{}); // also when the wish came while a call was open
+      fsm_.process_event(unwanted{}); // also if it became unwanted during a pending call
       return;
     }
     if (fsm_.current == phase::idle) {
-      fsm_.process_event(wanted{}); // wanted again while it was being given back
+      fsm_.process_event(wanted{}); // wanted again while it was being released
     }
-    if (fsm_.current == phase::watching && core().read_at() <= now) {
+    if (fsm_.current == phase::waiting && core().read_at() <= now) {
       fsm_.process_event(read_due{});
     }
-    if (fsm_.current == phase::confirming && !core().awaits_answer() && core().read_at() <= now) {
+    if (fsm_.current == phase::confirming && !core().has_pending_call() &&
+        core().read_at() <= now) {
       fsm_.process_event(read_due{});
     }
     if (fsm_.current == phase::holding && core().renew_at() <= now) {
@@ -216,59 +218,59 @@
   bool wanted_ = false;
 };
 
-lease_holder::lease_holder(lease_options options)
+lease_client::lease_client(lease_options options)
     : machine_(std::make_unique<machine>(std::move(options)))
 {
 }
 
-lease_holder::~lease_holder() = default;
+lease_client::~lease_client() = default;
 
-std::vector<lease_action> lease_holder::handle(const lease_event& event, clock_reading now)
+std::vector<lease_action> lease_client::handle(const lease_event& event, clock_reading now)
 {
   return machine_->handle(event, now);
 }
 
-std::optional<mono_time> lease_holder::wake_at() const
+std::optional<mono_time> lease_client::wake_at() const
 {
   return machine_->wake_at();
 }
 
-bool lease_holder::holds(mono_time now) const
+bool lease_client::holds(mono_time now) const
 {
-  return machine_->gives_orders() && now < machine_->core().deadline();
+  return machine_->may_give_orders() && now < machine_->core().deadline();
 }
 
-bool lease_holder::may_order(bool checks_fencing, mono_time now) const
+bool lease_client::may_issue_order(bool checks_fencing, mono_time now) const
 {
-  return holds(now) && (checks_fencing || machine_->core().order_all_at() <= now);
+  return holds(now) && (checks_fencing || machine_->core().unfenced_orders_allowed_at() <= now);
 }
 
-mono_time lease_holder::deadline() const
+mono_time lease_client::deadline() const
 {
   return machine_->core().deadline();
 }
 
-std::uint64_t lease_holder::fencing_number() const
+std::uint64_t lease_client::fencing_number() const
 {
   return machine_->core().fencing_number();
 }
 
-const boost::json::value& lease_holder::notes() const
+const boost::json::value& lease_client::notes() const
 {
   return machine_->core().notes();
 }
 
-bool lease_holder::notes_written() const
+bool lease_client::notes_written() const
 {
   return machine_->core().notes_written();
 }
 
-bool lease_holder::is_idle() const
+bool lease_client::is_idle() const
 {
   return machine_->is_idle();
 }
 
-const daemon_id& lease_holder::last_seen_holder() const
+const daemon_id& lease_client::last_seen_holder() const
 {
   return machine_->core().last_seen_holder();
 }
--- a/src/capacity/lease_record.cc
+++ b/src/capacity/lease_record.cc
@@ -37,7 +37,7 @@
             .duration = std::chrono::milliseconds(spec.at("duration_ms").to_number<std::int64_t>()),
             .notes = spec.at("notes")};
   } catch (const std::exception& e) {
-    throw capacity_error(std::string("lease cannot be read: ") + e.what());
+    throw capacity_error(std::string("cannot decode the lease object: ") + e.what());
   }
 }
 
--- a/src/capacity/load_queue.cc
+++ b/src/capacity/load_queue.cc
@@ -4,7 +4,8 @@
 
 namespace wisteriaflow::capacity {
 
-bool load_queue::has_all(const instance_id& endpoint, const std::vector<model_load>& loads) const
+bool load_queue::has_loaded_all(const instance_id& endpoint,
+                                const std::vector<model_load>& loads) const
 {
   const auto it = states_.find(endpoint);
   return std::all_of(loads.begin(), loads.end(), [&](const model_load& load) {
@@ -18,15 +19,15 @@
     return false;
   }
   auto& s = states_[endpoint];
-  const auto ordered = s.ordered.find(load);
-  const bool awaited = ordered != s.ordered.end() && ordered->second > now;
+  const auto ordered = s.pending.find(load);
+  const bool awaited = ordered != s.pending.end() && ordered->second > now;
   if (awaited || s.loaded.contains(load)) {
     return false;
   }
   const auto takes = std::chrono::duration_cast<mono_time::duration>(
       std::chrono::duration<double>(static_cast<double>(load.bytes) / options_.bytes_per_second));
   free_at_ = now + takes;
-  s.ordered[load] = free_at_ + options_.order_timeout;
+  s.pending[load] = free_at_ + options_.order_timeout;
   return true;
 }
 
@@ -34,15 +35,15 @@
 {
   const auto it = states_.find(endpoint);
   if (it == states_.end()) {
-    return; // forgotten since
+    return; // the endpoint has been removed
   }
-  it->second.ordered.erase(load);
+  it->second.pending.erase(load);
   if (loaded) {
     it->second.loaded.insert(load);
   }
 }
 
-void load_queue::keep_only(const std::set<instance_id>& endpoints)
+void load_queue::retain_only(const std::set<instance_id>& endpoints)
 {
   std::erase_if(states_, [&](const auto& each) { return !endpoints.contains(each.first); });
 }
--- a/src/capacity/mix.cc
+++ b/src/capacity/mix.cc
@@ -9,31 +9,33 @@
 namespace wisteriaflow::capacity {
 namespace {
 
-// Below this a shortfall or a saving is rounding.
+// Shortfalls and savings below this are rounding errors.
 constexpr double epsilon = 1e-9;
-// Capacity comes before the number of instances, and that before the share of reclaimable ones: a
-// pool that cannot have both should rather serve.
-constexpr double count_weight = 1e-2;
-constexpr double share_weight = 1e-3;
-// Moves of the local search that are accepted at most, so that a plan's time is bounded.
-constexpr int move_limit = 400;
-constexpr int kick_limit = 20;
-// Up to so many columns every start is kicked; up to so many more the best one. On larger problems
-// an instance is a small part, and single moves come near enough.
-constexpr std::size_t all_kicked_columns = 12;
-constexpr std::size_t best_kicked_columns = 40;
+// Weights of the requirements. Capacity takes precedence over the number of instances, and that
+// over the share of reclaimable ones: a pool that cannot meet all of them should still serve.
+constexpr double instance_count_weight = 1e-2;
+constexpr double reclaimable_share_weight = 1e-3;
+// Limits on the accepted moves and perturbations of a search, which bound the time of a plan.
+constexpr int max_moves = 400;
+constexpr int max_perturbations = 20;
+// Up to the first number of columns the solution from every starting point is perturbed; above it
+// and up to the second number, just the best one. In larger problems an instance is a small part of
+// the capacity, and single moves come close enough to the optimum.
+constexpr std::size_t max_columns_to_perturb_all = 12;
+constexpr std::size_t max_columns_to_perturb_best = 40;
 
-// Counts under construction, with the sums that the requirements look at.
+// The counts of a candidate solution, with the sums that the requirements depend on.
 class mix_search {
  public:
   explicit mix_search(const mix_problem& problem)
       : problem_(problem), counts_(problem.columns.size(), 0)
   {
-    std::map<availability_zone, std::size_t> numbers;
+    std::map<availability_zone, std::size_t> zone_indices;
     for (const auto& column : problem.columns) {
-      zone_of_.push_back(numbers.try_emplace(column.key.zone, numbers.size()).first->second);
+      zone_of_.push_back(
+          zone_indices.try_emplace(column.key.zone, zone_indices.size()).first->second);
     }
-    zone_weights_.resize(numbers.size(), 0);
+    zone_weights_.resize(zone_indices.size(), 0);
   }
 
   [[nodiscard]] const std::vector<std::int64_t>& counts() const { return counts_; }
@@ -63,18 +65,21 @@
   [[nodiscard]] double shortfall() const
   {
     const double largest = *std::max_element(zone_weights_.begin(), zone_weights_.end());
-    const double all = std::max(0.0, problem_.required - total_);
-    const double rest = std::max(0.0, problem_.required_after_zone_loss - (total_ - largest));
+    const double missing_capacity = std::max(0.0, problem_.required - total_);
+    const double missing_after_zone_loss =
+        std::max(0.0, problem_.required_after_zone_loss - (total_ - largest));
     const auto n = static_cast<double>(instances_);
-    const double missing = std::max(0.0, static_cast<double>(problem_.min_instances) - n);
-    const double excess =
+    const double missing_instances = std::max(0.0, static_cast<double>(problem_.min_instances) - n);
+    const double excess_reclaimable =
         std::max(0.0, static_cast<double>(reclaimable_) - problem_.max_reclaimable_share * n);
-    const double sum = all + rest + count_weight * missing + share_weight * excess;
+    const double sum = missing_capacity + missing_after_zone_loss +
+                       instance_count_weight * missing_instances +
+                       reclaimable_share_weight * excess_reclaimable;
     return sum < epsilon ? 0 : sum;
   }
 
-  // Takes the counts of a search on the same problem.
-  void take_from(const mix_search& other)
+  // Copies the state of another search on the same problem.
+  void copy_state_from(const mix_search& other)
   {
     counts_ = other.counts_;
     zone_weights_ = other.zone_weights_;
@@ -95,26 +100,28 @@
   std::int64_t reclaimable_ = 0;
 };
 
-// Where a search may act: zones to add in, and a column to leave as it is.
-struct search_room {
+// Restricts a search: the zones in which it may add instances, and a column that it may not change.
+struct search_bounds {
   std::set<std::size_t> zones;
-  std::optional<std::size_t> fixed;
+  std::optional<std::size_t> fixed_column;
 
   [[nodiscard]] bool may_add(const mix_search& search, std::size_t column) const
   {
-    return column != fixed && zones.contains(search.zone_of(column)) && search.can_add(column, 1);
+    return column != fixed_column && zones.contains(search.zone_of(column)) &&
+           search.can_add(column, 1);
   }
 };
 
-// Adds what lowers the shortfall most for its price, until nothing does.
-void construct(const mix_problem& problem, const search_room& room, mix_search& search)
+// Adds, one at a time, the instance that lowers the shortfall most for its price, until no instance
+// lowers it.
+void construct_greedily(const mix_problem& problem, const search_bounds& bounds, mix_search& search)
 {
   for (;;) {
     const double before = search.shortfall();
     std::optional<std::size_t> best;
     double best_gain = 0;
     for (std::size_t i = 0; i < problem.columns.size() && before > 0; ++i) {
-      if (!room.may_add(search, i)) {
+      if (!bounds.may_add(search, i)) {
         continue;
       }
       search.add(i, 1);
@@ -133,7 +140,7 @@
   }
 }
 
-// A change of one or two columns.
+// A change of the counts of one or two columns.
 struct move {
   std::size_t from = 0;
   std::int64_t removed = 0;
@@ -141,7 +148,8 @@
   std::int64_t added = 0;
 };
 
-// Makes the move if it lowers the shortfall, or the price at no higher shortfall.
+// Makes the move if it lowers the shortfall, or lowers the price without raising the shortfall.
+// Returns whether it was made.
 bool try_move(mix_search& search, const move& m)
 {
   const double shortfall = search.shortfall();
@@ -164,18 +172,19 @@
   return false;
 }
 
-// How many instances a move takes out and puts in.
+// How many instances a move removes and adds.
 struct move_size {
   std::int64_t removed = 0;
   std::int64_t added = 0;
 };
 constexpr move_size move_sizes[] = {{1, 1}, {2, 1}, {1, 2}, {3, 2}};
 
-bool improve_once(const mix_problem& problem, std::optional<std::size_t> fixed, mix_search& search)
+bool improve_once(const mix_problem& problem, std::optional<std::size_t> fixed_column,
+                  mix_search& search)
 {
   const auto n = problem.columns.size();
   for (std::size_t from = 0; from < n; ++from) {
-    if (search.counts()[from] == 0 || from == fixed) {
+    if (search.counts()[from] == 0 || from == fixed_column) {
       continue;
     }
     if (try_move(search, {.from = from, .removed = 1, .to = from, .added = 0})) {
@@ -184,7 +193,7 @@
     for (std::size_t to = 0; to < n; ++to) {
       for (const auto& size : move_sizes) {
         const move m{.from = from, .removed = size.removed, .to = to, .added = size.added};
-        if (to != from && to != fixed && try_move(search, m)) {
+        if (to != from && to != fixed_column && try_move(search, m)) {
           return true;
         }
       }
@@ -193,24 +202,26 @@
   return false;
 }
 
-void descend(const mix_problem& problem, std::optional<std::size_t> fixed, mix_search& search)
+void run_local_search(const mix_problem& problem, std::optional<std::size_t> fixed_column,
+                      mix_search& search)
 {
-  for (int i = 0; i < move_limit && improve_once(problem, fixed, search); ++i) {
+  for (int i = 0; i < max_moves && improve_once(problem, fixed_column, search); ++i) {
   }
 }
 
-// A mix is better that misses less, or misses no more and is cheaper.
+// Whether `a` has a lower shortfall than `b`, or no higher one and a lower price.
 bool is_better(const mix_search& a, const mix_search& b)
 {
-  const double missed_by_a = a.shortfall();
-  const double missed_by_b = b.shortfall();
-  return missed_by_a < missed_by_b - epsilon ||
-         (missed_by_a <= missed_by_b && a.price() < b.price() - epsilon);
+  const double shortfall_a = a.shortfall();
+  const double shortfall_b = b.shortfall();
+  return shortfall_a < shortfall_b - epsilon ||
+         (shortfall_a <= shortfall_b && a.price() < b.price() - epsilon);
 }
 
-// Instances come whole, so that single moves get stuck where several together would pay: takes one
-// more or less of a column for granted and sees whether the rest fits around it more cheaply.
-bool kick_once(const mix_problem& problem, const search_room& room, mix_search& search)
+// Leaves a local optimum. Since counts are whole numbers, single moves get stuck where several
+// moves together would lower the price. Changes the count of one column by 1 or 2, solves the rest
+// around it and keeps the first result that is better. Returns whether there was one.
+bool perturb_once(const mix_problem& problem, const search_bounds& bounds, mix_search& search)
 {
   for (std::size_t i = 0; i < problem.columns.size(); ++i) {
     for (const std::int64_t n : {1, -1, 2, -2}) {
@@ -219,11 +230,11 @@
       }
       mix_search other = search;
       other.add(i, n);
-      construct(problem, {.zones = room.zones, .fixed = i}, other);
-      descend(problem, i, other);
-      descend(problem, std::nullopt, other);
+      construct_greedily(problem, {.zones = bounds.zones, .fixed_column = i}, other);
+      run_local_search(problem, i, other);
+      run_local_search(problem, std::nullopt, other);
       if (is_better(other, search)) {
-        search.take_from(other);
+        search.copy_state_from(other);
         return true;
       }
     }
@@ -231,13 +242,13 @@
   return false;
 }
 
-void kick(const mix_problem& problem, const search_room& room, mix_search& search)
+void perturb(const mix_problem& problem, const search_bounds& bounds, mix_search& search)
 {
-  for (int i = 0; i < kick_limit && kick_once(problem, room, search); ++i) {
+  for (int i = 0; i < max_perturbations && perturb_once(problem, bounds, search); ++i) {
   }
 }
 
-// Zones by the price of their cheapest work, cheapest first.
+// Zones by the price of their cheapest capacity, cheapest first.
 std::vector<std::size_t> zones_by_price(const mix_problem& problem, const mix_search& search)
 {
   std::vector<double> least(search.zones(), std::numeric_limits<double>::max());
@@ -267,24 +278,24 @@
   const auto columns = problem.columns.size();
   mix_search best_search(problem);
   const auto order = zones_by_price(problem, best_search);
-  const search_room every_zone{.zones = {order.begin(), order.end()}};
-  search_room room;
-  // The optimum uses the cheapest zones, but how many depends on the prices' spread: each number
-  // is tried.
+  const search_bounds all_zones{.zones = {order.begin(), order.end()}};
+  search_bounds bounds;
+  // The optimum uses the cheapest zones, but how many of them depends on how far the prices differ,
+  // so every number of zones is tried.
   for (const auto zone : order) {
-    room.zones.insert(zone);
+    bounds.zones.insert(zone);
     mix_search search(problem);
-    construct(problem, room, search);
-    descend(problem, std::nullopt, search);
-    if (columns <= all_kicked_columns) {
-      kick(problem, every_zone, search);
+    construct_greedily(problem, bounds, search);
+    run_local_search(problem, std::nullopt, search);
+    if (columns <= max_columns_to_perturb_all) {
+      perturb(problem, all_zones, search);
     }
     if (is_better(search, best_search)) {
-      best_search.take_from(search);
+      best_search.copy_state_from(search);
     }
   }
-  if (columns > all_kicked_columns && columns <= best_kicked_columns) {
-    kick(problem, every_zone, best_search);
+  if (columns > max_columns_to_perturb_all && columns <= max_columns_to_perturb_best) {
+    perturb(problem, all_zones, best_search);
   }
   return {.counts = best_search.counts(),
           .price_per_hour = best_search.price(),
--- a/src/capacity/pool_view.cc
+++ b/src/capacity/pool_view.cc
@@ -41,9 +41,10 @@
 {
   const bool idle = demand.requests <= 0 && demand.prefill_tokens <= 0 && demand.decode_tokens <= 0;
   problem_.required = idle ? 0 : 1 + in.pool.headroom;
-  // An idle pool of two or more keeps one instance after the loss of a zone: its weight is 1.
-  const bool outlives_a_zone = options.zone_headroom && (!idle || in.pool.min_instances > 1);
-  problem_.required_after_zone_loss = outlives_a_zone ? 1 : 0;
+  // An idle pool of at least two instances keeps one after the loss of a zone: in an idle pool an
+  // instance has weight 1.
+  const bool must_survive_zone_loss = options.zone_headroom && (!idle || in.pool.min_instances > 1);
+  problem_.required_after_zone_loss = must_survive_zone_loss ? 1 : 0;
   problem_.min_instances = in.pool.min_instances;
   problem_.max_instances = in.pool.max_instances;
   problem_.max_reclaimable_share = in.pool.max_reclaimable_share;
@@ -51,17 +52,17 @@
 
 void pool_view::add_instance(const pool_instance& instance, bool starting)
 {
-  auto& h = held_[instance.key];
-  (starting ? h.starting : h.serving).push_back(&instance);
-  h.price_per_hour = instance.price_per_hour;
+  auto& group = groups_[instance.key];
+  (starting ? group.starting : group.serving).push_back(&instance);
+  group.price_per_hour = instance.price_per_hour;
 }
 
 void pool_view::add_launch(const launch_record& record)
 {
-  ++held_[record.key].launching;
+  ++groups_[record.key].launching;
 }
 
-// The part of the demand that one instance carries within the latency targets.
+// The fraction of the demand that one instance serves within the latency targets.
 double pool_view::weight_of(const std::string& instance_class) const
 {
   double load = 0;
@@ -72,24 +73,24 @@
     const bool declared = it != in_.rates.end() && it->second.decode_tokens_per_second > 0;
     load = engine_load(demand_, declared ? it->second : options_.default_rates);
   }
-  return load <= 0 ? 1 : options_.utilisation_at_target / load;
+  return load <= 0 ? 1 : options_.target_utilisation / load;
 }
 
-bool pool_view::takes(const offer_key& key) const
+bool pool_view::accepts(const offer_key& key) const
 {
   return allows(in_.pool.availability_zones, key.zone) &&
          allows(in_.pool.instance_classes, key.instance_class);
 }
 
-// While an instance starts, it and what it replaces are both paid for: spread over the horizon
-// within which that must pay.
+// The price factor of a new instance. While it starts, both it and the instance that it replaces
+// are paid for; that cost is spread over the payback horizon.
 double pool_view::start_cost_factor() const
 {
   if (!options_.switch_hysteresis) {
     return 1;
   }
   double bytes = 0;
-  for (const auto& load : in_.loads) {
+  for (const auto& load : in_.model_loads) {
     bytes += static_cast<double>(load.bytes);
   }
   const double starts = std::chrono::duration<double>(options_.launch_time).count() +
@@ -100,18 +101,18 @@
 void pool_view::solve(const std::vector<offer>& offers,
                       const std::function<bool(const offer_key&)>& may_launch)
 {
-  for (auto& [key, h] : held_) {
+  for (auto& [key, group] : groups_) {
     const auto it = std::find_if(offers.begin(), offers.end(),
                                  [&key = key](const offer& o) { return o.key == key; });
-    h.price_per_hour = it == offers.end() ? h.price_per_hour : it->price_per_hour;
+    group.price_per_hour = it == offers.end() ? group.price_per_hour : it->price_per_hour;
     problem_.columns.push_back({.key = key,
-                                .price_per_hour = h.price_per_hour,
+                                .price_per_hour = group.price_per_hour,
                                 .weight = weight_of(key.instance_class),
-                                .limit = h.size()});
+                                .limit = group.size()});
   }
   first_new_ = problem_.columns.size();
   for (const auto& o : offers) {
-    if (!takes(o.key)) {
+    if (!accepts(o.key)) {
       continue;
     }
     offered_.push_back(o.key);
@@ -124,7 +125,7 @@
   target_ = cheapest_mix(problem_);
 }
 
-std::int64_t pool_view::kept(const offer_key& key) const
+std::int64_t pool_view::kept_count(const offer_key& key) const
 {
   for (std::size_t i = 0; i < first_new_; ++i) {
     if (problem_.columns[i].key == key) {
@@ -138,7 +139,7 @@
 {
   std::vector<std::int64_t> out(problem_.columns.size(), 0);
   for (std::size_t i = 0; i < first_new_; ++i) {
-    out[i] = static_cast<std::int64_t>(held_.at(problem_.columns[i].key).serving.size());
+    out[i] = static_cast<std::int64_t>(groups_.at(problem_.columns[i].key).serving.size());
   }
   return out;
 }
@@ -148,22 +149,22 @@
   std::vector<const pool_instance*> out;
   auto counts = serving_counts();
   for (std::size_t i = 0; i < first_new_; ++i) {
-    auto& h = held_.at(problem_.columns[i].key);
-    auto surplus = h.size() - target_.counts[i];
-    // What does not serve yet is missed by nobody.
-    for (; surplus > 0 && !h.starting.empty(); --surplus) {
-      out.push_back(h.starting.back());
-      h.starting.pop_back();
+    auto& group = groups_.at(problem_.columns[i].key);
+    auto surplus = group.size() - target_.counts[i];
+    // Instances that do not serve yet can always be released.
+    for (; surplus > 0 && !group.starting.empty(); --surplus) {
+      out.push_back(group.starting.back());
+      group.starting.pop_back();
     }
-    for (; surplus > 0 && !h.serving.empty(); --surplus) {
+    for (; surplus > 0 && !group.serving.empty(); --surplus) {
       const double before = shortfall_of(problem_, counts);
       --counts[i];
       if (shortfall_of(problem_, counts) > before) {
         ++counts[i];
-        break; // its replacement does not serve yet
+        break; // still needed: its replacement does not serve yet
       }
-      out.push_back(h.serving.back());
-      h.serving.pop_back();
+      out.push_back(group.serving.back());
+      group.serving.pop_back();
     }
   }
   return out;
@@ -172,27 +173,27 @@
 std::vector<const pool_instance*> pool_view::starting_first() const
 {
   std::vector<const pool_instance*> out;
-  for (const auto& [key, h] : held_) {
-    out.insert(out.end(), h.starting.begin(), h.starting.end());
+  for (const auto& [key, group] : groups_) {
+    out.insert(out.end(), group.starting.begin(), group.starting.end());
   }
-  for (const auto& [key, h] : held_) {
-    out.insert(out.end(), h.serving.begin(), h.serving.end());
+  for (const auto& [key, group] : groups_) {
+    out.insert(out.end(), group.serving.begin(), group.serving.end());
   }
   return out;
 }
 
 instance_reason pool_view::reason_for(const pool_instance& instance) const
 {
-  const auto& h = held_.at(instance.key);
+  const auto& group = groups_.at(instance.key);
   const bool starting =
-      std::find(h.starting.begin(), h.starting.end(), &instance) != h.starting.end();
+      std::find(group.starting.begin(), group.starting.end(), &instance) != group.starting.end();
   instance_reason out{.subject = instance.id.value(), .pool = in_.pool.metadata.name};
-  const auto offer = to_string(instance.key) + " at " + to_text(h.price_per_hour) + " an hour";
-  const auto surplus = h.size() - kept(instance.key);
+  const auto offer = to_string(instance.key) + " at " + to_text(group.price_per_hour) + " an hour";
+  const auto surplus = group.size() - kept_count(instance.key);
   if (surplus > 0) {
     out.state = "surplus";
-    out.reason = offer + ": the cheapest mix keeps " + std::to_string(kept(instance.key)) + " of " +
-                 std::to_string(h.size()) + "; released when what replaces it serves";
+    out.reason = offer + ": the cheapest mix keeps " + std::to_string(kept_count(instance.key)) +
+                 " of " + std::to_string(group.size()) + "; released when what replaces it serves";
     return out;
   }
   out.state = starting ? "starting" : "serving";
@@ -210,8 +211,8 @@
                   .required = problem_.required,
                   .meets_requirements = target_.meets_requirements,
                   .price_per_hour = target_.price_per_hour};
-  for (const auto& [key, h] : held_) {
-    const double weight = weight_of(key.instance_class) * static_cast<double>(h.serving.size());
+  for (const auto& [key, group] : groups_) {
+    const double weight = weight_of(key.instance_class) * static_cast<double>(group.serving.size());
     out.serving += weight;
     by_zone[key.zone] += weight;
   }
--- a/src/capacity/pool_view.h
+++ b/src/capacity/pool_view.h
@@ -1,4 +1,5 @@
-// One pool in one plan: what it has, what the cheapest mix keeps of that, and what is surplus.
+// One pool in one planning round: its instances, those that the cheapest mix keeps, and the
+// surplus.
 
 #ifndef WISTERIAFLOW_SRC_CAPACITY_POOL_VIEW_H_
 #define WISTERIAFLOW_SRC_CAPACITY_POOL_VIEW_H_
@@ -13,12 +14,13 @@
 
 namespace wisteriaflow::capacity {
 
-// A number with two digits after the point, for causes.
+// Formats a number with two decimals, for the causes of actions.
 [[nodiscard]] std::string to_text(double value);
 
 namespace internal {
 
-// Refers to its arguments: they must outlive it.
+// Keeps references to the constructor's `options` and `in` and to the instances that are added, all
+// of which must outlive it.
 class pool_view {
  public:
   pool_view(const planner_options& options, const pool_input& in, const pool_demand& demand);
@@ -29,27 +31,29 @@
   // Adds a launch that the instance list does not show yet.
   void add_launch(const launch_record& record);
 
-  // Finds the cheapest mix, with new instances only of what `may_launch` allows.
+  // Finds the cheapest mix, with new instances of those offers that `may_launch` allows.
   void solve(const std::vector<offer>& offers,
              const std::function<bool(const offer_key&)>& may_launch);
 
   [[nodiscard]] const mix_problem& problem() const { return problem_; }
   [[nodiscard]] const mix& target() const { return target_; }
-  // The first column of new instances; those before are of instances that exist.
+  // Index of the first column of new instances; the columns before it are existing instances.
   [[nodiscard]] std::size_t first_new() const { return first_new_; }
   [[nodiscard]] const std::vector<offer_key>& offered() const { return offered_; }
 
-  // What may be released now: surplus that no requirement needs among what serves.
+  // Removes and returns the surplus instances that may be released now without the serving
+  // instances missing a requirement by more.
   [[nodiscard]] std::vector<const pool_instance*> take_releasable();
 
-  // All instances, starting ones first.
+  // All remaining instances, starting ones first.
   [[nodiscard]] std::vector<const pool_instance*> starting_first() const;
 
   [[nodiscard]] instance_reason reason_for(const pool_instance& instance) const;
   [[nodiscard]] pool_report report() const;
 
  private:
-  struct held {
+  // The instances and pending launches of one kind.
+  struct instance_group {
     std::vector<const pool_instance*> starting;
     std::vector<const pool_instance*> serving;
     std::int64_t launching = 0;
@@ -62,15 +66,15 @@
   };
 
   [[nodiscard]] double weight_of(const std::string& instance_class) const;
-  [[nodiscard]] bool takes(const offer_key& key) const;
+  [[nodiscard]] bool accepts(const offer_key& key) const;
   [[nodiscard]] double start_cost_factor() const;
   [[nodiscard]] std::vector<std::int64_t> serving_counts() const;
-  [[nodiscard]] std::int64_t kept(const offer_key& key) const;
+  [[nodiscard]] std::int64_t kept_count(const offer_key& key) const;
 
   const planner_options& options_;
   const pool_input& in_;
   pool_demand demand_;
-  std::map<offer_key, held> held_;
+  std::map<offer_key, instance_group> groups_;
   std::vector<offer_key> offered_;
   mix_problem problem_;
   mix target_;
--- a/src/core/active_request.h
+++ b/src/core/active_request.h
@@ -34,7 +34,7 @@
   endpoint_id endpoint;
   http::socket_address address;
   requests::sse_parser parser;
-  routing::sent_work work;
+  routing::sent_attempt work;
   int believed_tokens = 0;
   std::optional<mono_time> first_token_at;
   std::size_t tokens_before = 0; // that the answer had when this attempt's first one came
--- a/src/core/capacity_inputs.cc
+++ b/src/core/capacity_inputs.cc
@@ -14,18 +14,19 @@
     if (version.model != in.pool.model || version.retired) {
       continue;
     }
-    in.loads.push_back(
+    in.model_loads.push_back(
         {.model = version.model, .adapter = version.adapter, .bytes = version.weights_bytes});
     for (const auto& [instance_class, rates] : version.rates) {
       in.rates.emplace(instance_class, rates);
     }
   }
   // A model comes before its adapters, and each is loaded once.
-  std::sort(in.loads.begin(), in.loads.end());
+  std::sort(in.model_loads.begin(), in.model_loads.end());
   const auto same = [](const capacity::model_load& a, const capacity::model_load& b) {
     return a.model == b.model && a.adapter == b.adapter;
   };
-  in.loads.erase(std::unique(in.loads.begin(), in.loads.end(), same), in.loads.end());
+  in.model_loads.erase(std::unique(in.model_loads.begin(), in.model_loads.end(), same),
+                       in.model_loads.end());
 }
 
 capacity::pool_input* pool_of(const membership::member& m, std::vector<capacity::pool_input>& pools)
--- a/src/core/capacity_service.cc
+++ b/src/core/capacity_service.cc
@@ -109,7 +109,7 @@
     return;
   }
   if (answer.status != store_status::ok || answer.objects.empty()) {
-    feed_lease(capacity::lease_call_lost{call});
+    feed_lease(capacity::lease_call_unanswered{call});
     return;
   }
   try {
@@ -119,7 +119,7 @@
                                      .version = object.version});
   } catch (const capacity::capacity_error& e) {
     context_.log(severity::error, "the capacity lease cannot be read", {{"error", e.what()}});
-    feed_lease(capacity::lease_call_lost{call});
+    feed_lease(capacity::lease_call_unanswered{call});
   }
 }
 
@@ -144,7 +144,7 @@
   } else if (answer.status == store_status::conflict || answer.status == store_status::not_found) {
     feed_lease(capacity::lease_conflict{call});
   } else {
-    feed_lease(capacity::lease_call_lost{call});
+    feed_lease(capacity::lease_call_unanswered{call});
   }
 }
 
@@ -175,7 +175,7 @@
 
 bool capacity_service::may_order(bool checks_fencing) const
 {
-  return !leaving_ && lease_.may_order(checks_fencing, context_.now().mono);
+  return !leaving_ && lease_.may_issue_order(checks_fencing, context_.now().mono);
 }
 
 void capacity_service::fetch_prices()
--- a/src/core/capacity_service.h
+++ b/src/core/capacity_service.h
@@ -65,7 +65,7 @@
   configuration& config_;
   endpoint_calls& endpoints_;
   capacity_inputs inputs_;
-  capacity::lease_holder lease_;
+  capacity::lease_client lease_;
   capacity::planner planner_;
   listed_instances listed_;
   bool listed_once_ = false;
--- a/src/core/fleet.h
+++ b/src/core/fleet.h
@@ -86,8 +86,8 @@
   [[nodiscard]] membership::gossiper& gossip() { return gossiper_; }
   [[nodiscard]] routing::endpoint_table& endpoints() { return endpoints_; }
   [[nodiscard]] const routing::endpoint_table& endpoints() const { return endpoints_; }
-  [[nodiscard]] routing::prefix_belief& prefixes() { return prefixes_; }
-  [[nodiscard]] const routing::prefix_belief& prefixes() const { return prefixes_; }
+  [[nodiscard]] routing::prefix_cache_index& prefixes() { return prefixes_; }
+  [[nodiscard]] const routing::prefix_cache_index& prefixes() const { return prefixes_; }
 
  private:
   void register_self();
@@ -110,7 +110,7 @@
   membership::membership_view view_;
   membership::gossiper gossiper_;
   routing::endpoint_table endpoints_;
-  routing::prefix_belief prefixes_;
+  routing::prefix_cache_index prefixes_;
   std::shared_ptr<const objects::fleet_configuration> configuration_;
   // What selectors see of each reached endpoint, by slot: made once, looked at with every request.
   std::vector<objects::instance_description> described_;
--- a/src/core/fleet_endpoints.cc
+++ b/src/core/fleet_endpoints.cc
@@ -122,7 +122,7 @@
     }
   }
   for (const auto& id : unwanted) {
-    prefixes_.forget(*endpoints_.find(id));
+    prefixes_.remove_endpoint(*endpoints_.find(id));
     endpoints_.remove(id);
     announced_.erase(id);
     cache_events_seen_.erase(id);
--- a/src/core/request_table.cc
+++ b/src/core/request_table.cc
@@ -33,7 +33,7 @@
   case admission::refusal_reason::over_share:
     return requests::refusal_reason::over_share;
   case admission::refusal_reason::daemon_full:
-  case admission::refusal_reason::batch_gives_way:
+  case admission::refusal_reason::batch_shed:
     return requests::refusal_reason::overloaded;
   case admission::refusal_reason::deadline_unreachable:
     return requests::refusal_reason::deadline_too_near;
@@ -302,7 +302,7 @@
     send_outcome(call, requests::refused_not_run{requests::refusal_reason::overloaded,
                                                  context_.now().wall + draining_retry, ""});
   } else {
-    retries_.on_fresh();
+    retries_.on_first_attempt();
     r.calls.push_back(attached);
     calls_.emplace(call, r.id);
     const auto id = r.id;
@@ -492,17 +492,17 @@
         w.max_tokens_in_flight ? static_cast<double>(*w.max_tokens_in_flight) : unlimited;
   }
   const auto daemons = services_.members.live_daemon_ids().size();
-  admission_.shares().set_daemons(std::max(1, static_cast<int>(daemons)));
-  admission_.shares().set_shares(shares, context_.now().mono);
+  admission_.limiter().set_daemon_count(std::max(1, static_cast<int>(daemons)));
+  admission_.limiter().set_shares(shares, context_.now().mono);
 }
 
 void request_table::refresh_shares()
 {
   const auto now = context_.now().mono;
   const auto& self = context_.options().self;
-  auto& shares = admission_.shares();
+  auto& shares = admission_.limiter();
   const auto daemons = services_.members.live_daemon_ids();
-  shares.set_daemons(std::max(1, static_cast<int>(daemons.size())));
+  shares.set_daemon_count(std::max(1, static_cast<int>(daemons.size())));
   auto& usage = services_.members.gossip().usage();
   const auto own = shares.local_demand(now);
   admission::workspace_amounts of_others;
@@ -526,7 +526,8 @@
   }
   for (const auto& daemon : daemons) {
     if (daemon != self && !of_others.empty()) {
-      shares.on_demand({.daemon = daemon, .demand = of_others, .good_until = own.good_until});
+      shares.on_demand_report(
+          {.daemon = daemon, .demand = of_others, .valid_until = own.valid_until});
     }
   }
   shares.refresh(now);
--- a/src/daemon/daemon.cc
+++ b/src/daemon/daemon.cc
@@ -57,15 +57,15 @@
   out.order_timeout = s.capacity_order_timeout;
   out.clock_skew = s.capacity_clock_skew;
   auto& p = out.planner;
-  p.utilisation_at_target = static_cast<double>(s.capacity_utilisation_percent) / 100;
+  p.target_utilisation = static_cast<double>(s.capacity_utilisation_percent) / 100;
   p.service_requests_per_second = static_cast<double>(s.capacity_service_requests_per_second);
   p.launch_time = s.capacity_launch_time;
   p.launch_timeout = s.capacity_launch_timeout;
   p.payback_horizon = s.capacity_payback_horizon;
   p.release_after = s.capacity_release_after;
-  p.backoff.first = s.capacity_launch_backoff;
-  p.backoff.most = s.capacity_launch_backoff_limit;
-  p.backoff.after_reclaim = s.capacity_reclaim_backoff;
+  p.backoff.initial = s.capacity_launch_backoff;
+  p.backoff.limit = s.capacity_launch_backoff_limit;
+  p.backoff.reclaim_backoff = s.capacity_reclaim_backoff;
   p.loads.bytes_per_second = static_cast<double>(s.capacity_weight_store_bytes_per_second);
   return out;
 }
--- a/src/gateway/demand_meter.cc
+++ b/src/gateway/demand_meter.cc
@@ -33,14 +33,14 @@
 // because other work shares the engine, and a few are too high, because more of the prompt was
 // cached than this daemon knows. The estimate is therefore an upper quantile, tracked by stochastic
 // approximation.
-void demand_meter::on_first_token(std::string_view service, const routing::sent_work& work,
+void demand_meter::on_first_token(std::string_view service, const routing::sent_attempt& work,
                                   mono_time now)
 {
   constexpr int min_tokens = 3'000;
   constexpr double quantile = 0.75;
   constexpr double step = 0.06; // of the current estimate
   const double elapsed = seconds(now - work.sent_at);
-  if (!work.found_idle || work.prefill_tokens < min_tokens || elapsed <= 0) {
+  if (!work.sent_when_idle || work.prefill_tokens < min_tokens || elapsed <= 0) {
     return;
   }
   auto& speed = state_of(service).speed;
--- a/src/gateway/endpoint_pool.cc
+++ b/src/gateway/endpoint_pool.cc
@@ -115,7 +115,7 @@
 void endpoint_pool::erase(const endpoint_id& id)
 {
   if (const auto slot = table_.find(id)) {
-    prefixes_.forget(*slot);
+    prefixes_.remove_endpoint(*slot);
   }
   table_.remove(id);
   records_.erase(id);
@@ -220,7 +220,7 @@
   return departures_.to_gossip(now);
 }
 
-void endpoint_pool::end_wait(endpoint_work& own, const routing::sent_work& work)
+void endpoint_pool::end_wait(endpoint_work& own, const routing::sent_attempt& work)
 {
   own.waiting -= std::min<std::uint32_t>(1, own.waiting);
   const auto tokens = static_cast<std::uint64_t>(std::max(0, work.prefill_tokens));
@@ -240,12 +240,12 @@
          it->second.incarnation == process.incarnation;
 }
 
-void endpoint_pool::on_first_token(routing::sent_work& work, mono_time now)
+void endpoint_pool::on_first_token(routing::sent_attempt& work, mono_time now)
 {
   if (work.first_token_at) {
     return;
   }
-  if (table_.holds(work)) {
+  if (table_.is_current(work)) {
     const auto& id = table_.at(work.slot).description.id;
     auto& own = own_[id];
     end_wait(own, work);
@@ -255,10 +255,10 @@
   table_.on_first_token(work, now);
 }
 
-void endpoint_pool::on_finished(const routing::sent_work& work, std::uint64_t output_tokens,
+void endpoint_pool::on_finished(const routing::sent_attempt& work, std::uint64_t output_tokens,
                                 mono_time now)
 {
-  if (table_.holds(work)) {
+  if (table_.is_current(work)) {
     auto& own = own_[table_.at(work.slot).description.id];
     if (work.first_token_at) {
       own.running -= std::min<std::uint32_t>(1, own.running);
--- a/src/gateway/endpoint_pool_choice.cc
+++ b/src/gateway/endpoint_pool_choice.cc
@@ -131,7 +131,7 @@
     // Refused calls count as demand too: a fleet that refuses calls is short of endpoints.
     meter_.on_sent(criteria.service, own_tokens(*size, split_prompt(criteria.prompt)));
   }
-  return {.reason = routing::no_endpoint_reason::none_open, .retry_at = opens_at};
+  return {.reason = routing::no_endpoint_reason::none_accepting, .retry_at = opens_at};
 }
 
 pool_choice endpoint_pool::choose(const selection_criteria& criteria, mono_time now)
@@ -152,8 +152,8 @@
                                       .expected_output_tokens = static_cast<int>(size.output),
                                       .target = criteria.target,
                                       .deadline = criteria.deadline,
-                                      .homes = affinity,
-                                      .home_blocks = prompt.shared};
+                                      .affinity_endpoints = affinity,
+                                      .affinity_blocks = prompt.shared};
   const routing::routing_view view{.endpoints = table_, .prefixes = prefixes_, .options = routing_};
   const auto choice = routing::choose_endpoint(view, request, candidates.open, now, random_);
   if (const auto* chosen = std::get_if<routing::chosen_endpoint>(&choice)) {
@@ -166,7 +166,7 @@
   if (candidates.open.empty()) {
     return none;
   }
-  if (none.only_queued && criteria.may_be_refused) {
+  if (none.feasible_when_idle && criteria.may_be_refused) {
     // Refused calls count as demand too: a fleet that refuses calls is short of endpoints.
     meter_.on_sent(criteria.service, own_tokens(size, prompt));
     return none;
@@ -175,8 +175,8 @@
   // endpoint with the earliest end of ejection and, among equals, the lowest load.
   const auto slot =
       *std::min_element(candidates.open.begin(), candidates.open.end(), [this](auto a, auto b) {
-        return std::pair(ejected_until(a), table_.at(a).crowding()) <
-               std::pair(ejected_until(b), table_.at(b).crowding());
+        return std::pair(ejected_until(a), table_.at(a).batch_load()) <
+               std::pair(ejected_until(b), table_.at(b).batch_load());
       });
   return start_attempt(slot, static_cast<int>(size.prompt), blocks, criteria, now);
 }
--- a/src/gateway/rate_shares.cc
+++ b/src/gateway/rate_shares.cc
@@ -44,7 +44,7 @@
   }
   // Staggers the first requests of the holders by the interval of the total rate.
   it.share = admission::rate_limit(share, share_burst);
-  it.share.take(static_cast<double>(rank + 1) / static_cast<double>(holders), now);
+  it.share.consume(static_cast<double>(rank + 1) / static_cast<double>(holders), now);
 }
 
 void rate_shares::set_fleet(fleet_view fleet, mono_time now)
@@ -74,14 +74,15 @@
   if (it == entries_.end()) {
     return now;
   }
-  return it->second.has_share ? it->second.share.open_at(now) : now + interval_of(it->second.rate);
+  return it->second.has_share ? it->second.share.next_allowed_at(now)
+                              : now + interval_of(it->second.rate);
 }
 
 void rate_shares::take(const endpoint_id& id, mono_time now)
 {
   const auto it = entries_.find(id);
   if (it != entries_.end()) {
-    it->second.share.take(1, now);
+    it->second.share.consume(1, now);
   }
 }
 
--- a/src/gateway/workspace_quota.cc
+++ b/src/gateway/workspace_quota.cc
@@ -35,7 +35,7 @@
                                   mono_time now)
 {
   admission::rate_limit out(rate, burst);
-  out.take(rate * seconds(burst) * (1 - credit), now);
+  out.consume(rate * seconds(burst) * (1 - credit), now);
   return out;
 }
 
@@ -169,14 +169,14 @@
     return std::nullopt;
   }
   auto& bucket = found->second.shared;
-  const auto open_at = bucket.open_at(now);
+  const auto open_at = bucket.next_allowed_at(now);
   if (open_at > now) {
     const auto wait = std::chrono::duration_cast<std::chrono::milliseconds>(open_at - now);
     return quota_grant{.retry_after = wait + std::chrono::milliseconds{1}};
   }
   // Units ahead of need come only from what is available; a single request may run into debt.
   const double granted = std::max(min_units, std::min(wanted_units, bucket.available(now)));
-  bucket.take(granted, now);
+  bucket.consume(granted, now);
   return quota_grant{.units = granted};
 }
 
@@ -200,12 +200,12 @@
 quota_decision workspace_quota::admit_locally(account& it, double units, mono_time now,
                                               std::optional<mono_time> retry_at) const
 {
-  const auto open_at = it.local.open_at(now);
+  const auto open_at = it.local.next_allowed_at(now);
   if (open_at > now) {
     return {.outcome = quota_outcome::refused,
             .retry_at = retry_at ? std::min(*retry_at, open_at) : open_at};
   }
-  it.local.take(units, now);
+  it.local.consume(units, now);
   return {};
 }
 
--- a/src/relay/lease_keeper.cc
+++ b/src/relay/lease_keeper.cc
@@ -95,7 +95,7 @@
 bool lease_keeper::may_act() const
 {
   constexpr bool checks_fencing = false;
-  return holder_.may_order(checks_fencing, clock_.now());
+  return holder_.may_issue_order(checks_fencing, clock_.now());
 }
 
 void lease_keeper::tick()
@@ -158,7 +158,7 @@
     co_return;
   }
   if (reply.result != adapter::store_result::done) {
-    answer(capacity::lease_call_lost{.call = a.call});
+    answer(capacity::lease_call_unanswered{.call = a.call});
     co_return;
   }
   try {
@@ -167,7 +167,7 @@
         .call = a.call, .record = decode(object.spec), .version = object.revision});
   } catch (const adapter::format_error& e) {
     state_.log.write(daemon::log_level::error, "lease unreadable", {{"reason", e.what()}});
-    answer(capacity::lease_call_lost{.call = a.call});
+    answer(capacity::lease_call_unanswered{.call = a.call});
   }
 }
 
@@ -184,7 +184,7 @@
       answer(capacity::lease_written{.call = a.call, .version = object.revision});
     } catch (const adapter::format_error& e) {
       state_.log.write(daemon::log_level::error, "lease unreadable", {{"reason", e.what()}});
-      answer(capacity::lease_call_lost{.call = a.call});
+      answer(capacity::lease_call_unanswered{.call = a.call});
     }
     break;
   case adapter::store_result::conflict:
@@ -192,7 +192,7 @@
     answer(capacity::lease_conflict{.call = a.call});
     break;
   default:
-    answer(capacity::lease_call_lost{.call = a.call});
+    answer(capacity::lease_call_unanswered{.call = a.call});
   }
 }
 
--- a/src/relay/lease_keeper.h
+++ b/src/relay/lease_keeper.h
@@ -45,7 +45,7 @@
   boost::asio::io_context& context_;
   fleet_state& state_;
   store_client& store_;
-  capacity::lease_holder holder_;
+  capacity::lease_client holder_;
   suspension_clock clock_;
   std::chrono::nanoseconds suspended_{0}; // as last noted
 };
--- a/src/routing/endpoint_table.cc
+++ b/src/routing/endpoint_table.cc
@@ -8,23 +8,23 @@
 namespace wisteriaflow::routing {
 namespace {
 
-constexpr int largest_backoff_doubling = 16;
-constexpr int fewest_tokens_for_a_rate = 256;
+constexpr int max_backoff_doublings = 16;
+constexpr int min_tokens_for_rate_sample = 256;
 
 double seconds_between(mono_time from, mono_time to)
 {
   return std::chrono::duration<double>(to - from).count();
 }
 
-// How many requests are expected beyond the batch places where `over` are known of. The count is
-// late and leaves out what other daemons have sent since, so some wait is expected before it is
-// full: a smooth maximum of 0 and `over`.
+// Expected number of requests beyond the batch places, given that the known count exceeds them by
+// `over`. The count is delayed and does not include what other daemons have sent since, so some
+// wait is expected even before the batch is full. Computed as a smooth maximum of 0 and `over`.
 double expected_excess(int over, double uncertainty)
 {
   if (uncertainty <= 0) {
     return std::max(0, over);
   }
-  // Far beyond full the two are the same, and the exponential would be infinite.
+  // Far beyond full the two values are equal, and the exponential would overflow.
   constexpr double far_beyond = 30;
   if (over > far_beyond * uncertainty) {
     return over;
@@ -32,16 +32,17 @@
   return uncertainty * std::log1p(std::exp(over / uncertainty));
 }
 
-// How much a report still tells of the queue now: a queue drains and others form.
-double fading(const queue_model& model, mono_time measured_at)
+// The weight of a report, from 1 when new towards 0. It decays because the reported queue drains
+// and new ones form.
+double report_weight(const queue_model& model, mono_time measured_at)
 {
-  if (model.fades_in_seconds <= 0) {
+  if (model.decay_seconds <= 0) {
     return 1;
   }
-  return std::exp(-std::max(0.0, seconds_between(measured_at, model.now)) / model.fades_in_seconds);
+  return std::exp(-std::max(0.0, seconds_between(measured_at, model.now)) / model.decay_seconds);
 }
 
-void drop_until(std::vector<mono_time>& events, mono_time measured_at)
+void drop_reported(std::vector<mono_time>& events, mono_time measured_at)
 {
   std::erase_if(events, [measured_at](mono_time at) { return at <= measured_at; });
 }
@@ -65,24 +66,25 @@
 
 double endpoint_state::queue_seconds(const queue_model& model) const
 {
-  const int waiting = model.own_work ? waiting_now() : report.waiting;
-  const int running = model.own_work ? running_now() : report.running;
-  // Own attempts are known to the token; those of other daemons are taken as average ones where the
-  // report does not tell their tokens.
-  const int own = model.own_work ? own_waiting : 0;
-  const auto own_tokens = model.own_work ? static_cast<double>(own_waiting_tokens) : 0.0;
+  const int waiting = model.local_corrections ? waiting_now() : report.waiting;
+  const int running = model.local_corrections ? running_now() : report.running;
+  // The tokens of own attempts are known exactly. If the report does not give the tokens of other
+  // daemons' requests, these are assumed to be of average size.
+  const int own = model.local_corrections ? own_waiting : 0;
+  const auto own_tokens = model.local_corrections ? static_cast<double>(own_waiting_tokens) : 0.0;
   const double others =
       report.others_waiting_tokens.value_or(std::max(0, waiting - own) * prefill_tokens.value());
   const int max_running = std::max(1, report.max_running);
   const double over = expected_excess(running + waiting + 1 - max_running, model.uncertainty);
   const double reported =
       others / prefill_rate.value() + over * decode_seconds.value() / max_running;
-  return own_tokens / prefill_rate.value() + reported * fading(model, report.measured_at);
+  return own_tokens / prefill_rate.value() + reported * report_weight(model, report.measured_at);
 }
 
-double endpoint_state::crowding(bool own_work) const
+double endpoint_state::batch_load(bool local_corrections) const
 {
-  const int used = own_work ? running_now() + waiting_now() : report.running + report.waiting;
+  const int used =
+      local_corrections ? running_now() + waiting_now() : report.running + report.waiting;
   return static_cast<double>(used) / std::max(1, report.max_running);
 }
 
@@ -100,7 +102,7 @@
     free = std::prev(states_.end());
   }
   *free = endpoint_state{.description = description,
-                         .occupant = ++occupants_,
+                         .slot_generation = ++last_slot_generation_,
                          .report = {.max_running = options_.initial_max_running},
                          .prefill_rate = {options_.initial_prefill_rate, options_.ewma_gain},
                          .decode_rate = {0, options_.ewma_gain},
@@ -143,18 +145,18 @@
   return *states_[slot];
 }
 
-endpoint_state* endpoint_table::state_of(const sent_work& work)
+endpoint_state* endpoint_table::state_of(const sent_attempt& attempt)
 {
-  return holds(work) ? &*states_[work.slot] : nullptr;
+  return is_current(attempt) ? &*states_[attempt.slot] : nullptr;
 }
 
-bool endpoint_table::holds(const sent_work& work) const
+bool endpoint_table::is_current(const sent_attempt& attempt) const
 {
-  return work.slot < states_.size() && states_[work.slot] &&
-         states_[work.slot]->occupant == work.occupant;
+  return attempt.slot < states_.size() && states_[attempt.slot] &&
+         states_[attempt.slot]->slot_generation == attempt.slot_generation;
 }
 
-void endpoint_table::keep_event(std::vector<mono_time>& events, mono_time at) const
+void endpoint_table::append_event(std::vector<mono_time>& events, mono_time at) const
 {
   if (events.size() >= options_.max_unreported_events) {
     events.erase(events.begin());
@@ -169,9 +171,9 @@
     return;
   }
   it.report = report;
-  drop_until(it.sent, report.measured_at);
-  drop_until(it.started, report.measured_at);
-  drop_until(it.finished, report.measured_at);
+  drop_reported(it.sent, report.measured_at);
+  drop_reported(it.started, report.measured_at);
+  drop_reported(it.finished, report.measured_at);
 }
 
 void endpoint_table::on_leaving(endpoint_slot slot)
@@ -179,57 +181,61 @@
   state(slot).leaving = true;
 }
 
-sent_work endpoint_table::on_sent(endpoint_slot slot, int prefill_tokens, mono_time now)
+sent_attempt endpoint_table::on_sent(endpoint_slot slot, int prefill_tokens, mono_time now)
 {
   auto& it = state(slot);
-  // With a full batch it would wait for a place: the time to its first token says nothing of the
-  // rate, and an endpoint believed slow would get no work that could show otherwise.
+  // With a full batch the attempt would wait for a place, so its time to first token would not
+  // measure the prefill rate. An endpoint underestimated that way would get no requests that could
+  // correct the estimate.
   const bool idle = it.waiting_now() == 0 && it.running_now() + 1 < it.report.max_running;
-  keep_event(it.sent, now);
+  append_event(it.sent, now);
   ++it.own_waiting;
   it.own_waiting_tokens += prefill_tokens;
   it.prefill_tokens.add(prefill_tokens);
   return {.slot = slot,
-          .occupant = it.occupant,
+          .slot_generation = it.slot_generation,
           .prefill_tokens = prefill_tokens,
           .sent_at = now,
-          .found_idle = idle};
+          .sent_when_idle = idle};
 }
 
-void endpoint_table::on_first_token(sent_work& work, mono_time now)
+void endpoint_table::on_first_token(sent_attempt& attempt, mono_time now)
 {
-  auto* it = state_of(work);
-  if (it == nullptr || work.first_token_at) {
+  auto* it = state_of(attempt);
+  if (it == nullptr || attempt.first_token_at) {
     return;
   }
-  work.first_token_at = now;
-  keep_event(it->started, now);
+  attempt.first_token_at = now;
+  append_event(it->started, now);
   it->own_waiting = std::max(0, it->own_waiting - 1);
-  it->own_waiting_tokens = std::max<std::int64_t>(0, it->own_waiting_tokens - work.prefill_tokens);
-  const double elapsed = seconds_between(work.sent_at, now);
-  // With a queue before it the time says nothing of the rate.
-  if (work.found_idle && work.prefill_tokens >= fewest_tokens_for_a_rate && elapsed > 0) {
-    it->prefill_rate.add(work.prefill_tokens / elapsed);
+  it->own_waiting_tokens =
+      std::max<std::int64_t>(0, it->own_waiting_tokens - attempt.prefill_tokens);
+  const double elapsed = seconds_between(attempt.sent_at, now);
+  // For an attempt that waited in a queue, the elapsed time does not measure the prefill rate.
+  if (attempt.sent_when_idle && attempt.prefill_tokens >= min_tokens_for_rate_sample &&
+      elapsed > 0) {
+    it->prefill_rate.add(attempt.prefill_tokens / elapsed);
   }
 }
 
-void endpoint_table::on_finished(const sent_work& work, int output_tokens, mono_time now)
+void endpoint_table::on_finished(const sent_attempt& attempt, int output_tokens, mono_time now)
 {
-  auto* it = state_of(work);
+  auto* it = state_of(attempt);
   if (it == nullptr) {
     return;
   }
-  if (!work.first_token_at) {
-    // It left the queue without running: the report's count of waiting ones is corrected too.
-    keep_event(it->started, now);
+  if (!attempt.first_token_at) {
+    // The attempt left the queue without running, so the waiting count of the report is corrected
+    // as well.
+    append_event(it->started, now);
     it->own_waiting = std::max(0, it->own_waiting - 1);
     it->own_waiting_tokens =
-        std::max<std::int64_t>(0, it->own_waiting_tokens - work.prefill_tokens);
-    keep_event(it->finished, now);
+        std::max<std::int64_t>(0, it->own_waiting_tokens - attempt.prefill_tokens);
+    append_event(it->finished, now);
     return;
   }
-  keep_event(it->finished, now);
-  const double elapsed = seconds_between(*work.first_token_at, now);
+  append_event(it->finished, now);
+  const double elapsed = seconds_between(*attempt.first_token_at, now);
   if (output_tokens > 0 && elapsed > 0) {
     it->decode_seconds.add(elapsed);
     it->decode_rate.add(output_tokens / elapsed);
@@ -239,7 +245,7 @@
 void endpoint_table::on_connect_failure(endpoint_slot slot, mono_time now)
 {
   auto& it = state(slot);
-  const int doublings = std::min(it.connect_failures, largest_backoff_doubling);
+  const int doublings = std::min(it.connect_failures, max_backoff_doublings);
   ++it.connect_failures;
   const auto backoff = options_.connect_backoff * (1 << doublings);
   it.unreachable_until = now + std::min(backoff, options_.connect_backoff_limit);
--- a/src/routing/prefix_belief.cc
+++ b/src/routing/prefix_belief.cc
@@ -4,69 +4,72 @@
 #include <utility>
 
 namespace wisteriaflow::routing {
-prefix_belief::prefix_belief(prefix_belief_options options) : options_(options) {}
+prefix_cache_index::prefix_cache_index(prefix_cache_index_options options) : options_(options) {}
 
-prefix_belief::holders& prefix_belief::touch(std::uint64_t block)
+prefix_cache_index::holders& prefix_cache_index::touch(std::uint64_t block)
 {
-  if (const auto it = recent_.find(block); it != recent_.end()) {
+  if (const auto it = recent_blocks_.find(block); it != recent_blocks_.end()) {
     return it->second;
   }
-  if (recent_.size() >= options_.max_blocks / 2) {
-    older_ = std::exchange(recent_, {});
+  if (recent_blocks_.size() >= options_.max_blocks / 2) {
+    older_blocks_ = std::exchange(recent_blocks_, {});
   }
   holders kept;
-  if (const auto it = older_.find(block); it != older_.end()) {
+  if (const auto it = older_blocks_.find(block); it != older_blocks_.end()) {
     kept = std::move(it->second);
-    older_.erase(it);
+    older_blocks_.erase(it);
   }
-  return recent_.emplace(block, std::move(kept)).first->second;
+  return recent_blocks_.emplace(block, std::move(kept)).first->second;
 }
 
-const prefix_belief::holders* prefix_belief::find(std::uint64_t block) const
+const prefix_cache_index::holders* prefix_cache_index::find(std::uint64_t block) const
 {
-  if (const auto it = recent_.find(block); it != recent_.end()) {
+  if (const auto it = recent_blocks_.find(block); it != recent_blocks_.end()) {
     return &it->second;
   }
-  const auto it = older_.find(block);
-  return it == older_.end() ? nullptr : &it->second;
+  const auto it = older_blocks_.find(block);
+  return it == older_blocks_.end() ? nullptr : &it->second;
 }
 
-void prefix_belief::remember(std::uint64_t block, const holder& seen)
+void prefix_cache_index::record_holder(std::uint64_t block, const holder& update)
 {
   auto& known = touch(block);
   const auto it = std::find_if(known.begin(), known.end(),
-                               [&seen](const holder& h) { return h.slot == seen.slot; });
+                               [&update](const holder& h) { return h.slot == update.slot; });
   if (it == known.end()) {
-    known.push_back(seen);
-  } else if (seen.sent_by_us || !it->sent_by_us || seen.seen > it->seen + options_.event_lag) {
-    *it = seen;
+    known.push_back(update);
+  } else if (update.sent_by_this_daemon || !it->sent_by_this_daemon ||
+             update.last_seen > it->last_seen + options_.max_event_delay) {
+    *it = update;
   }
 }
 
-void prefix_belief::on_sent(endpoint_slot slot, std::span<const std::uint64_t> blocks,
-                            mono_time now)
+void prefix_cache_index::on_sent(endpoint_slot slot, std::span<const std::uint64_t> blocks,
+                                 mono_time now)
 {
   for (const auto block : blocks) {
-    remember(block, {.seen = now, .slot = slot, .sent_by_us = true});
+    record_holder(block, {.last_seen = now, .slot = slot, .sent_by_this_daemon = true});
   }
 }
 
-void prefix_belief::on_event(endpoint_slot slot, const cache_event& event, mono_time now)
+void prefix_cache_index::on_event(endpoint_slot slot, const cache_event& event, mono_time now)
 {
   if (event.kind == cache_event::kind::stored) {
-    remember(event.prefix_hash, {.seen = now, .slot = slot, .sent_by_us = false});
+    record_holder(event.prefix_hash,
+                  {.last_seen = now, .slot = slot, .sent_by_this_daemon = false});
     return;
   }
   if (find(event.prefix_hash) == nullptr) {
     return;
   }
   std::erase_if(touch(event.prefix_hash), [&](const holder& h) {
-    const bool newer_than_event = h.sent_by_us && h.seen + options_.event_lag > now;
+    const bool newer_than_event =
+        h.sent_by_this_daemon && h.last_seen + options_.max_event_delay > now;
     return h.slot == slot && !newer_than_event;
   });
 }
 
-void prefix_belief::forget(endpoint_slot slot)
+void prefix_cache_index::remove_endpoint(endpoint_slot slot)
 {
   const auto drop = [slot](generation& blocks) {
     for (auto& [block, known] : blocks) {
@@ -74,12 +77,12 @@
     }
     boost::unordered::erase_if(blocks, [](const auto& it) { return it.second.empty(); });
   };
-  drop(recent_);
-  drop(older_);
+  drop(recent_blocks_);
+  drop(older_blocks_);
 }
 
-void prefix_belief::match(std::span<const std::uint64_t> blocks, mono_time now,
-                          std::span<std::uint32_t> matched) const
+void prefix_cache_index::match(std::span<const std::uint64_t> blocks, mono_time now,
+                               std::span<std::uint32_t> matched) const
 {
   std::uint32_t depth = 0;
   for (const auto block : blocks) {
@@ -89,9 +92,10 @@
     }
     bool held = false;
     for (const auto& it : *known) {
-      // A slot that lacked an earlier block lacks this prefix, whatever an event said.
+      // A slot without an earlier block cannot have this prefix, even if an event reported the
+      // block.
       if (it.slot < matched.size() && matched[it.slot] == depth &&
-          it.seen + options_.forget_after > now) {
+          it.last_seen + options_.expire_after > now) {
         matched[it.slot] = depth + 1;
         held = true;
       }
@@ -103,10 +107,10 @@
   }
 }
 
-std::size_t prefix_belief::memory_bytes() const
+std::size_t prefix_cache_index::memory_bytes() const
 {
   std::size_t bytes = 0;
-  for (const auto* blocks : {&recent_, &older_}) {
+  for (const auto* blocks : {&recent_blocks_, &older_blocks_}) {
     bytes += blocks->bucket_count() * (sizeof(generation::value_type) + 1);
     for (const auto& [block, known] : *blocks) {
       bytes += known.capacity() * sizeof(holder);
--- a/src/routing/prefix_blocks.cc
+++ b/src/routing/prefix_blocks.cc
@@ -7,7 +7,7 @@
 
 constexpr std::string_view white_space = " \t\n\v\f\r";
 
-// Takes the next word off `text`; empty if there is none.
+// Removes the next word from `text` and returns it; empty if there is none.
 std::string_view take_word(std::string_view& text)
 {
   const auto first = text.find_first_not_of(white_space);
--- a/test/admission/admission_control_test.cc
+++ b/test/admission/admission_control_test.cc
@@ -16,7 +16,7 @@
  protected:
   AdmissionControlTest()
   {
-    control_.shares().set_shares({{workspace, {.values = {1000, 1e6, 1e6}}}}, start);
+    control_.limiter().set_shares({{workspace, {.values = {1000, 1e6, 1e6}}}}, start);
   }
 
   admission admit() { return control_.admit(request_, start, rng_); }
@@ -40,31 +40,31 @@
   EXPECT_TRUE(std::holds_alternative<admitted>(admit()));
 }
 
-TEST_F(AdmissionControlTest, BatchWorkGivesWayOnBusyEndpoints)
+TEST_F(AdmissionControlTest, RefusesBatchRequestsOnBusyEndpoints)
 {
   request_.utilisation = 0.8;
   EXPECT_TRUE(std::holds_alternative<admitted>(admit()));
   request_.priority = request_priority::batch;
-  EXPECT_EQ(refused_for(), refusal_reason::batch_gives_way);
+  EXPECT_EQ(refused_for(), refusal_reason::batch_shed);
 }
 
-TEST_F(AdmissionControlTest, BatchWorkLeavesPlacesForInteractiveWork)
+TEST_F(AdmissionControlTest, LimitsTheBatchRequestsInFlight)
 {
   request_.priority = request_priority::batch;
   static_cast<void>(admit());
   static_cast<void>(admit());
-  EXPECT_EQ(refused_for(), refusal_reason::batch_gives_way);
+  EXPECT_EQ(refused_for(), refusal_reason::batch_shed);
 }
 
-TEST_F(AdmissionControlTest, RefusesAtOnceWhatWouldMissItsDeadline)
+TEST_F(AdmissionControlTest, RefusesARequestThatWouldMissItsDeadline)
 {
   request_.first_token_at = start + seconds(5);
   const auto no = std::get<refused>(admit());
   EXPECT_EQ(no.reason, refusal_reason::deadline_unreachable);
-  EXPECT_GE(no.retry_at, start + seconds(3)) << "the 3 s by which the deadline is missed";
+  EXPECT_GE(no.retry_at, start + seconds(3)) << "the deadline is missed by 3 s";
 }
 
-TEST_F(AdmissionControlTest, TellsCallersTurnedAwayToComeBackOneAfterAnother)
+TEST_F(AdmissionControlTest, SpacesTheRetryTimesOfRefusedRequests)
 {
   for (int i = 0; i < 4; ++i) {
     static_cast<void>(admit());
@@ -74,10 +74,10 @@
   for (int i = 0; i < 20; ++i) {
     last = std::get<refused>(admit()).retry_at;
   }
-  EXPECT_GT(last, first + seconds(10)) << "at the assumed drain rate of one a second";
+  EXPECT_GT(last, first + seconds(10)) << "the minimum drain rate is one request per second";
 }
 
-RC_GTEST_FIXTURE_PROP(AdmissionControlTest, ARefusalTellsALaterTime, ())
+RC_GTEST_FIXTURE_PROP(AdmissionControlTest, ARefusalHasARetryTimeInTheFuture, ())
 {
   request_.tokens = *rc::gen::inRange(1, 1'000'000);
   request_.utilisation = *rc::gen::inRange(0, 100) / 100.0;
--- a/test/admission/rate_limit_test.cc
+++ b/test/admission/rate_limit_test.cc
@@ -9,7 +9,7 @@
 
 const mono_time start{1'000s};
 
-TEST(RateLimitTest, HasItsWholeBurstAtFirst)
+TEST(RateLimitTest, StartsWithAFullBurst)
 {
   const rate_limit limit(10, 2s);
   EXPECT_DOUBLE_EQ(limit.available(start), 20);
@@ -18,16 +18,16 @@
 TEST(RateLimitTest, GainsUnitsAsTimePasses)
 {
   rate_limit limit(10, 2s);
-  limit.take(20, start);
+  limit.consume(20, start);
   EXPECT_NEAR(limit.available(start + 500ms), 5, 1e-6);
 }
 
-TEST(RateLimitTest, HasNothingInDebt)
+TEST(RateLimitTest, HasNothingAvailableInDebt)
 {
   rate_limit limit(10, 1s);
-  limit.take(30, start);
+  limit.consume(30, start);
   EXPECT_DOUBLE_EQ(limit.available(start), 0);
-  EXPECT_EQ(limit.open_at(start), start + 2s);
+  EXPECT_EQ(limit.next_allowed_at(start), start + 2s);
 }
 
 } // namespace
--- a/test/admission/retry_test.cc
+++ b/test/admission/retry_test.cc
@@ -19,17 +19,17 @@
   return allowed;
 }
 
-TEST(RetryBudgetTest, AllowsAFractionOfFreshWork)
+TEST(RetryBudgetTest, AllowsAFractionOfFirstAttempts)
 {
-  retry_budget budget({.fraction = 0.125, .min_per_second = 0, .most_saved = 50});
+  retry_budget budget({.fraction = 0.125, .min_per_second = 0, .max_balance = 50});
   static_cast<void>(retries_allowed(budget, 100, start));
   for (int i = 0; i < 80; ++i) {
-    budget.on_fresh();
+    budget.on_first_attempt();
   }
   EXPECT_EQ(retries_allowed(budget, 100, start), 10);
 }
 
-TEST(RetryBudgetTest, AllowsAFewWithoutFreshWork)
+TEST(RetryBudgetTest, AllowsAMinimumRateWithoutFirstAttempts)
 {
   retry_budget budget({.min_per_second = 2});
   static_cast<void>(retries_allowed(budget, 100, start));
--- a/test/admission/workspace_limiter_test.cc
+++ b/test/admission/workspace_limiter_test.cc
@@ -25,28 +25,28 @@
   return {.values = {1e6, rate, 1e9}};
 }
 
-TEST(MaxMinFairTest, MeetsSmallDemandsWholeAndDividesTheRestEvenly)
+TEST(MaxMinFairTest, MeetsSmallDemandsInFullAndDividesTheRestEvenly)
 {
   EXPECT_EQ(max_min_fair(10, std::vector<double>{2, 9, 9}), (std::vector<double>{2, 4, 4}));
 }
 
-TEST(RateLimitTest, OpensAgainWhenTheDebtIsPaid)
+TEST(RateLimitTest, AllowsRequestsAgainWhenTheDebtIsPaid)
 {
   rate_limit limit(100, milliseconds(1000));
-  limit.take(300, start);
-  EXPECT_EQ(limit.open_at(start), start + seconds(2));
-  EXPECT_EQ(limit.open_at(start + seconds(3)), start + seconds(3));
+  limit.consume(300, start);
+  EXPECT_EQ(limit.next_allowed_at(start), start + seconds(2));
+  EXPECT_EQ(limit.next_allowed_at(start + seconds(3)), start + seconds(3));
 }
 
 TEST(RateLimitTest, KeepsADebtInUnitsWhenTheRateChanges)
 {
   rate_limit limit(100, milliseconds(0));
-  limit.take(300, start);
+  limit.consume(300, start);
   limit.set_rate(300, start);
-  EXPECT_EQ(limit.open_at(start), start + seconds(1));
+  EXPECT_EQ(limit.next_allowed_at(start), start + seconds(1));
 }
 
-// Daemons that gossip their demand at each tick, `delay` ticks late.
+// A fleet of daemons that exchange their demand reports at each tick, with a delay in ticks.
 class WorkspaceLimiterTest : public testing::Test {
  protected:
   void start_fleet(int daemons, const workspace_amounts& shares)
@@ -54,12 +54,12 @@
     for (int i = 0; i < daemons; ++i) {
       fleet_.emplace_back(workspace_limiter_options{.self = daemon_id(std::to_string(i)),
                                                     .burst = milliseconds(1000)});
-      fleet_.back().set_daemons(daemons);
+      fleet_.back().set_daemon_count(daemons);
       fleet_.back().set_shares(shares, now_);
     }
   }
 
-  // One tick: every daemon refreshes, then hears the reports made `delay` ticks ago.
+  // Advances by one tick: every daemon refreshes, then receives the reports made `delay` ticks ago.
   void step(std::size_t delay)
   {
     now_ += tick;
@@ -74,13 +74,14 @@
     }
     for (auto& it : fleet_) {
       for (const auto& report : gossip_.front()) {
-        it.on_demand(report);
+        it.on_demand_report(report);
       }
     }
     gossip_.pop_front();
   }
 
-  // Offers `requests` of 10 tokens to a daemon over the next tick; tokens admitted.
+  // Sends `requests` requests of 10 tokens each to a daemon, spread over the next tick. Returns the
+  // number of tokens admitted.
   double offer(workspace_limiter& daemon, const workspace_id& workspace, int requests)
   {
     double taken = 0;
@@ -99,7 +100,7 @@
   std::deque<std::vector<demand_report>> gossip_;
 };
 
-TEST_F(WorkspaceLimiterTest, GivesTheShareToTheDaemonsThatAreAskedForIt)
+TEST_F(WorkspaceLimiterTest, GivesTheShareToTheDaemonsWithDemand)
 {
   start_fleet(4, {{large, tokens_share(1000)}});
   double last = 0;
@@ -133,7 +134,7 @@
 TEST_F(WorkspaceLimiterTest, ANewDaemonDoesNotBeginWithTheWholeShare)
 {
   workspace_limiter daemon({.self = daemon_id("new")});
-  daemon.set_daemons(5);
+  daemon.set_daemon_count(5);
   daemon.set_shares({{large, tokens_share(1000)}}, start);
   EXPECT_DOUBLE_EQ(daemon.allowance(large)[share_unit::tokens_per_second], 200);
 }
@@ -151,7 +152,7 @@
   EXPECT_EQ(daemon.admit(large, 80, start), std::nullopt);
 }
 
-TEST_F(WorkspaceLimiterTest, ADebtOfTokensDoesNotHoldUpACallWithoutTokens)
+TEST_F(WorkspaceLimiterTest, ADebtOfTokensDoesNotDelayACallWithoutTokens)
 {
   workspace_limiter daemon({.self = daemon_id("d"), .burst = milliseconds(1000)});
   daemon.set_shares({{large, tokens_share(100)}}, start);
@@ -168,9 +169,9 @@
   EXPECT_EQ(over->unit, std::nullopt);
 }
 
-// Demand wanders at random between daemons and the gossip is late; over 20 s the fleet admits at
-// most the share and the bursts, with a quarter for what it has not heard of yet.
-RC_GTEST_FIXTURE_PROP(WorkspaceLimiterTest, HoldsTheShareFleetWide, ())
+// Demand moves at random between the daemons and gossip is delayed. Over 20 s the fleet admits at
+// most the share plus the bursts, with a tolerance of a quarter for demand not yet reported.
+RC_GTEST_FIXTURE_PROP(WorkspaceLimiterTest, EnforcesTheShareFleetWide, ())
 {
   constexpr double rate = 2000;
   constexpr int ticks = 40;
--- a/test/capacity/fixtures.h
+++ b/test/capacity/fixtures.h
@@ -38,7 +38,7 @@
   return out;
 }
 
-// A pool whose instances carry 100 decode tokens/s each at the latency target.
+// A pool whose instances serve 100 decode tokens/s each at the latency target.
 inline pool_input pool_with_demand(double decode_tokens)
 {
   pool_input in;
@@ -48,11 +48,12 @@
   in.pool.headroom = 0;
   in.demand = {.requests = 1, .decode_tokens = decode_tokens};
   in.rates["large"] = {.decode_tokens_per_second = 125};
-  in.loads = {{.model = model_id("m"), .bytes = 1'000'000'000}};
+  in.model_loads = {{.model = model_id("m"), .bytes = 1'000'000'000}};
   return in;
 }
 
-// Three zones, and a pool that needs three instances of any two zones: 200 tokens/s.
+// Three zones and a pool with a demand of 200 tokens/s, which takes two instances. Since it has to
+// survive the loss of any one zone, it needs three, one in each zone.
 inline plan_input usual_input()
 {
   return {.offers = usual_offers(), .pools = {pool_with_demand(200)}};
@@ -70,7 +71,7 @@
   return out;
 }
 
-// The instance that a launch has started.
+// The instance that a launch starts.
 inline pool_instance instance_of(const launch& l, const std::string& id)
 {
   return {.id = instance_id(id),
--- a/test/capacity/lease_holder_test.cc
+++ b/test/capacity/lease_holder_test.cc
@@ -11,198 +11,200 @@
 
 using namespace std::chrono_literals;
 
-class LeaseHolderTest : public testing::Test {
+class LeaseClientTest : public testing::Test {
  protected:
   // Daemon 0 holds the lease from now on.
   void acquire()
   {
-    world_.feed(0, lease_wanted{true});
-    world_.serve_all(0);
+    simulation_.deliver(0, lease_wanted{true});
+    simulation_.answer_all_calls(0);
   }
 
-  lease_world world_{2};
+  lease_simulation simulation_{2};
 };
 
-TEST_F(LeaseHolderTest, TakesALeaseThatDoesNotExist)
+TEST_F(LeaseClientTest, CreatesALeaseThatDoesNotExist)
 {
   acquire();
-  EXPECT_TRUE(world_.holder(0).holds(world_.now()));
-  EXPECT_EQ(world_.holder(0).fencing_number(), 1U);
+  EXPECT_TRUE(simulation_.client(0).holds(simulation_.now()));
+  EXPECT_EQ(simulation_.client(0).fencing_number(), 1U);
 }
 
-TEST_F(LeaseHolderTest, FirstHolderOrdersEveryEndpointAtOnce)
+TEST_F(LeaseClientTest, FirstHolderMayOrderEveryEndpointAtOnce)
 {
   acquire();
-  EXPECT_TRUE(world_.holder(0).may_order(false, world_.now()));
+  EXPECT_TRUE(simulation_.client(0).may_issue_order(false, simulation_.now()));
 }
 
-TEST_F(LeaseHolderTest, RenewsWhileItRuns)
+TEST_F(LeaseClientTest, RenewsWhileItRuns)
 {
   acquire();
-  world_.pass(60s, {0});
-  EXPECT_TRUE(world_.holder(0).holds(world_.now()));
+  simulation_.advance_time(60s, {0});
+  EXPECT_TRUE(simulation_.client(0).holds(simulation_.now()));
 }
 
-TEST_F(LeaseHolderTest, ItsRightEndsByItsOwnClock)
+TEST_F(LeaseClientTest, TheLeaseExpiresOnTheHoldersOwnClock)
 {
   acquire();
-  EXPECT_FALSE(world_.holder(0).holds(world_.now() + world_.options.duration));
+  EXPECT_FALSE(simulation_.client(0).holds(simulation_.now() + simulation_.options.duration));
 }
 
-TEST_F(LeaseHolderTest, AnotherTakesOverWithAHigherNumberWhenTheHolderFallsSilent)
+TEST_F(LeaseClientTest, AnotherTakesOverWithAHigherFencingNumberWhenTheHolderStopsRenewing)
 {
   acquire();
-  world_.feed(1, lease_wanted{true});
-  world_.pass(20s, {1});
-  EXPECT_TRUE(world_.holder(1).holds(world_.now()));
-  EXPECT_EQ(world_.holder(1).fencing_number(), 2U);
+  simulation_.deliver(1, lease_wanted{true});
+  simulation_.advance_time(20s, {1});
+  EXPECT_TRUE(simulation_.client(1).holds(simulation_.now()));
+  EXPECT_EQ(simulation_.client(1).fencing_number(), 2U);
 }
 
-TEST_F(LeaseHolderTest, AnotherClaimsAsSoonAsTheLeaseIsFree)
+TEST_F(LeaseClientTest, AnotherClaimsTheLeaseAsSoonAsItIsClaimable)
 {
   acquire();
-  world_.feed(1, lease_wanted{true});
-  world_.serve_all(1); // sees the lease now
-  const auto seen_at = world_.now();
-  while (!world_.holder(1).holds(world_.now())) {
-    world_.pass(100ms, {1});
+  simulation_.deliver(1, lease_wanted{true});
+  simulation_.answer_all_calls(1); // observes the lease now
+  const auto observed_at = simulation_.now();
+  while (!simulation_.client(1).holds(simulation_.now())) {
+    simulation_.advance_time(100ms, {1});
   }
-  const auto free_after = world_.options.duration + world_.options.skew_margin;
-  EXPECT_LE(world_.now() - seen_at, free_after + 200ms);
+  const auto claimable_after = simulation_.options.duration + simulation_.options.skew_margin;
+  EXPECT_LE(simulation_.now() - observed_at, claimable_after + 200ms);
 }
 
-TEST_F(LeaseHolderTest, ASuccessorWaitsForTheFormerOrdersWhereNumbersAreIgnored)
+TEST_F(LeaseClientTest, ASuccessorWaitsForFormerOrdersToEndpointsThatIgnoreFencing)
 {
   acquire();
-  world_.feed(1, lease_wanted{true});
-  while (!world_.holder(1).holds(world_.now())) {
-    world_.pass(100ms, {1});
+  simulation_.deliver(1, lease_wanted{true});
+  while (!simulation_.client(1).holds(simulation_.now())) {
+    simulation_.advance_time(100ms, {1});
   }
-  EXPECT_TRUE(world_.holder(1).may_order(true, world_.now()));
-  EXPECT_FALSE(world_.holder(1).may_order(false, world_.now()));
-  world_.pass(world_.options.order_timeout + world_.options.skew_margin, {1});
-  EXPECT_TRUE(world_.holder(1).may_order(false, world_.now()));
+  EXPECT_TRUE(simulation_.client(1).may_issue_order(true, simulation_.now()));
+  EXPECT_FALSE(simulation_.client(1).may_issue_order(false, simulation_.now()));
+  simulation_.advance_time(simulation_.options.order_timeout + simulation_.options.skew_margin,
+                           {1});
+  EXPECT_TRUE(simulation_.client(1).may_issue_order(false, simulation_.now()));
 }
 
-TEST_F(LeaseHolderTest, AHolderThatWakesLateGivesNoOrder)
+TEST_F(LeaseClientTest, AHolderThatResumesAfterExpiryMayIssueNoOrder)
 {
   acquire();
-  world_.feed(1, lease_wanted{true});
-  world_.pass(20s, {1});
-  EXPECT_FALSE(world_.holder(0).may_order(true, world_.now()));
+  simulation_.deliver(1, lease_wanted{true});
+  simulation_.advance_time(20s, {1});
+  EXPECT_FALSE(simulation_.client(0).may_issue_order(true, simulation_.now()));
 }
 
-TEST_F(LeaseHolderTest, SettlesALostAnswerOfItsClaimByReadingBack)
+TEST_F(LeaseClientTest, ResolvesALostAnswerToItsClaimByReadingBack)
 {
-  world_.feed(0, lease_wanted{true});
-  world_.serve(0); // the read
-  world_.serve(0, store_mood::loses_answer);
-  world_.pass(1s, {0});
-  EXPECT_TRUE(world_.holder(0).holds(world_.now()));
-  EXPECT_EQ(world_.stored().fencing_number, 1U);
+  simulation_.deliver(0, lease_wanted{true});
+  simulation_.answer_next_call(0); // the read
+  simulation_.answer_next_call(0, store_behaviour::loses_answer);
+  simulation_.advance_time(1s, {0});
+  EXPECT_TRUE(simulation_.client(0).holds(simulation_.now()));
+  EXPECT_EQ(simulation_.stored().fencing_number, 1U);
 }
 
-TEST_F(LeaseHolderTest, SettlesALostAnswerOfARenewalByReadingBack)
+TEST_F(LeaseClientTest, ResolvesALostAnswerToARenewalByReadingBack)
 {
   acquire();
-  world_.pass(2'900ms, {0});
-  world_.pass(100ms, {});
-  world_.feed(0, lease_tick{});
-  world_.serve(0, store_mood::loses_answer);
-  world_.serve_all(0);
-  EXPECT_GT(world_.holder(0).deadline(), world_.now() + 9s);
+  simulation_.advance_time(2'900ms, {0});
+  simulation_.advance_time(100ms, {});
+  simulation_.deliver(0, lease_tick{});
+  simulation_.answer_next_call(0, store_behaviour::loses_answer);
+  simulation_.answer_all_calls(0);
+  EXPECT_GT(simulation_.client(0).deadline(), simulation_.now() + 9s);
 }
 
-TEST_F(LeaseHolderTest, WritesAgainWhenARenewalDidNotLand)
+TEST_F(LeaseClientTest, RepeatsARenewalThatDidNotReachTheStore)
 {
   acquire();
-  world_.pass(2'900ms, {0});
-  world_.pass(100ms, {});
-  world_.feed(0, lease_tick{});
-  world_.serve(0, store_mood::loses_call);
-  world_.serve_all(0);
-  EXPECT_GT(world_.holder(0).deadline(), world_.now() + 9s);
+  simulation_.advance_time(2'900ms, {0});
+  simulation_.advance_time(100ms, {});
+  simulation_.deliver(0, lease_tick{});
+  simulation_.answer_next_call(0, store_behaviour::loses_call);
+  simulation_.answer_all_calls(0);
+  EXPECT_GT(simulation_.client(0).deadline(), simulation_.now() + 9s);
 }
 
-TEST_F(LeaseHolderTest, DoesNotTakeAnothersWriteWithTheSameNonceForItsOwn)
+TEST_F(LeaseClientTest, DoesNotTakeAnothersWriteWithTheSameNonceForItsOwn)
 {
-  lease_world world(2, true);
-  world.feed(0, lease_wanted{true});
-  world.feed(1, lease_wanted{true});
-  world.serve(0); // both read that there is no lease
-  world.serve(1);
-  world.serve_all(0);
-  world.serve_all(1);
-  EXPECT_TRUE(world.holder(0).holds(world.now()));
-  EXPECT_FALSE(world.holder(1).holds(world.now()));
+  lease_simulation simulation(2, true);
+  simulation.deliver(0, lease_wanted{true});
+  simulation.deliver(1, lease_wanted{true});
+  simulation.answer_next_call(0); // both daemons find no lease
+  simulation.answer_next_call(1);
+  simulation.answer_all_calls(0);
+  simulation.answer_all_calls(1);
+  EXPECT_TRUE(simulation.client(0).holds(simulation.now()));
+  EXPECT_FALSE(simulation.client(1).holds(simulation.now()));
 }
 
-TEST_F(LeaseHolderTest, GivesTheLeaseBackWhenItIsNotWanted)
+TEST_F(LeaseClientTest, ReleasesTheLeaseWhenItIsNotWanted)
 {
   acquire();
-  world_.feed(0, lease_wanted{false});
-  world_.serve_all(0);
-  EXPECT_TRUE(world_.holder(0).is_idle());
-  EXPECT_TRUE(world_.stored().holder.empty()) << world_.stored().holder.value();
+  simulation_.deliver(0, lease_wanted{false});
+  simulation_.answer_all_calls(0);
+  EXPECT_TRUE(simulation_.client(0).is_idle());
+  EXPECT_TRUE(simulation_.stored().holder.empty()) << simulation_.stored().holder.value();
 }
 
-TEST_F(LeaseHolderTest, ALeaseGivenBackIsTakenAtOnce)
+TEST_F(LeaseClientTest, AReleasedLeaseIsAcquiredAtOnce)
 {
   acquire();
-  world_.feed(0, lease_wanted{false});
-  world_.serve_all(0);
-  world_.feed(1, lease_wanted{true});
-  world_.serve_all(1);
-  EXPECT_EQ(world_.holder(1).fencing_number(), 2U);
+  simulation_.deliver(0, lease_wanted{false});
+  simulation_.answer_all_calls(0);
+  simulation_.deliver(1, lease_wanted{true});
+  simulation_.answer_all_calls(1);
+  EXPECT_EQ(simulation_.client(1).fencing_number(), 2U);
 }
 
-TEST_F(LeaseHolderTest, NotesAreWrittenAtOnceAndFoundByTheSuccessor)
+TEST_F(LeaseClientTest, NotesAreWrittenAtOnceAndFoundByTheSuccessor)
 {
   acquire();
-  world_.feed(0, notes_changed{"launches"});
-  EXPECT_FALSE(world_.holder(0).notes_written());
-  world_.serve_all(0);
-  EXPECT_TRUE(world_.holder(0).notes_written());
-  world_.feed(1, lease_wanted{true});
-  world_.pass(20s, {1});
-  EXPECT_EQ(world_.holder(1).notes(), "launches");
+  simulation_.deliver(0, notes_changed{"launches"});
+  EXPECT_FALSE(simulation_.client(0).notes_written());
+  simulation_.answer_all_calls(0);
+  EXPECT_TRUE(simulation_.client(0).notes_written());
+  simulation_.deliver(1, lease_wanted{true});
+  simulation_.advance_time(20s, {1});
+  EXPECT_EQ(simulation_.client(1).notes(), "launches");
 }
 
-TEST_F(LeaseHolderTest, AFormerHolderCannotWriteNotes)
+TEST_F(LeaseClientTest, AFormerHolderCannotWriteNotes)
 {
   acquire();
-  world_.feed(1, lease_wanted{true});
-  world_.pass(20s, {1});
-  world_.feed(0, notes_changed{"late"});
-  world_.serve_all(0);
-  EXPECT_NE(world_.stored().notes, "late");
+  simulation_.deliver(1, lease_wanted{true});
+  simulation_.advance_time(20s, {1});
+  simulation_.deliver(0, notes_changed{"late"});
+  simulation_.answer_all_calls(0);
+  EXPECT_NE(simulation_.stored().notes, "late");
 }
 
-// Three daemons, any pauses and lost calls: never two holders at once, and a later holder's number
-// is higher.
+// With three daemons, arbitrary pauses and lost calls, no two daemons hold the lease at the same
+// time, and a later holder never has a lower fencing number.
 RC_GTEST_PROP(LeasePropertyTest, NeverHasTwoHolders, ())
 {
   constexpr int daemons = 3;
-  lease_world world(daemons);
+  lease_simulation simulation(daemons);
   for (int i = 0; i < daemons; ++i) {
-    world.feed(i, lease_wanted{true});
+    simulation.deliver(i, lease_wanted{true});
   }
   std::uint64_t highest = 0;
   for (int step = 0; step < 300; ++step) {
-    world.pass(100ms * *rc::gen::inRange(1, 40), {});
+    simulation.advance_time(100ms * *rc::gen::inRange(1, 40), {});
     const int i = *rc::gen::inRange(0, daemons);
-    world.feed(i, lease_tick{});
+    simulation.deliver(i, lease_tick{});
     for (int n = *rc::gen::inRange(0, 4); n > 0; --n) {
-      world.serve(i, *rc::gen::weightedElement<store_mood>({{6, store_mood::answers},
-                                                            {1, store_mood::loses_answer},
-                                                            {1, store_mood::loses_call}}));
+      simulation.answer_next_call(
+          i, *rc::gen::weightedElement<store_behaviour>({{6, store_behaviour::answers},
+                                                         {1, store_behaviour::loses_answer},
+                                                         {1, store_behaviour::loses_call}}));
     }
     int holding = 0;
     for (int k = 0; k < daemons; ++k) {
-      if (world.holder(k).holds(world.now())) {
+      if (simulation.client(k).holds(simulation.now())) {
         ++holding;
-        RC_ASSERT(world.holder(k).fencing_number() >= highest);
-        highest = world.holder(k).fencing_number();
+        RC_ASSERT(simulation.client(k).fencing_number() >= highest);
+        highest = simulation.client(k).fencing_number();
       }
     }
     RC_ASSERT(holding <= 1);
--- a/test/capacity/mix_test.cc
+++ b/test/capacity/mix_test.cc
@@ -15,8 +15,9 @@
   return {.key = key_of(zone, reclaimable), .price_per_hour = price, .weight = weight};
 }
 
-// The price of the best of all mixes with at most `most` instances of each column.
-std::optional<double> best_price(const mix_problem& problem, std::int64_t most)
+// The lowest price over all mixes with at most `most` instances of each column, by exhaustive
+// search.
+std::optional<double> optimal_price(const mix_problem& problem, std::int64_t most)
 {
   std::vector<std::int64_t> counts(problem.columns.size(), 0);
   std::optional<double> best;
@@ -42,7 +43,7 @@
   }
 }
 
-TEST(MixTest, CarriesTheDemandWithoutAnyOneZone)
+TEST(MixTest, MeetsTheDemandWithoutAnyOneZone)
 {
   const mix_problem problem{
       .columns = {column("a", true, 1, 0.5), column("b", true, 1, 0.5), column("c", true, 1, 0.5)},
@@ -51,13 +52,13 @@
   EXPECT_EQ(m.counts, (std::vector<std::int64_t>{1, 1, 1})) << m.price_per_hour;
 }
 
-TEST(MixTest, SaysWhenOneZoneCannotDo)
+TEST(MixTest, ReportsThatOneZoneIsNotEnough)
 {
   const auto m = cheapest_mix({.columns = {column("a", true, 1, 0.5)}, .required = 1});
   EXPECT_FALSE(m.meets_requirements);
 }
 
-TEST(MixTest, KeepsTheReclaimableShare)
+TEST(MixTest, LimitsTheReclaimableShare)
 {
   const mix_problem problem{.columns = {column("a", true, 0.3, 0.1), column("a", false, 1, 0.1),
                                         column("b", true, 0.3, 0.1), column("b", false, 1, 0.1)},
@@ -66,7 +67,7 @@
   EXPECT_EQ(m.counts[0] + m.counts[2], m.counts[1] + m.counts[3]) << m.price_per_hour;
 }
 
-TEST(MixTest, TakesNoMoreThanAColumnsLimit)
+TEST(MixTest, UsesNoMoreThanAColumnsLimit)
 {
   auto cheap = column("a", true, 0.1, 0.5);
   cheap.limit = 1;
@@ -75,7 +76,7 @@
   EXPECT_EQ(m.counts, (std::vector<std::int64_t>{1, 1}));
 }
 
-TEST(MixTest, ServesRatherThanKeepTheShareWhenOnDemandIsRefused)
+TEST(MixTest, ExceedsTheReclaimableShareIfThereIsNoOnDemandOffer)
 {
   const auto m = cheapest_mix({.columns = {column("a", true, 0.3, 0.5)},
                                .required_after_zone_loss = 0,
@@ -83,7 +84,8 @@
   EXPECT_EQ(m.counts, (std::vector<std::int64_t>{2}));
 }
 
-// Any prices and weights: never wrong about meeting the requirements, and near the best price.
+// For arbitrary prices and weights, `meets_requirements` is correct and the price is near the
+// optimum.
 RC_GTEST_PROP(MixPropertyTest, ComesNearTheBestPrice, ())
 {
   mix_problem problem;
@@ -96,11 +98,11 @@
   problem.required = 1 + 0.1 * *rc::gen::inRange(0, 4);
   problem.max_reclaimable_share = 0.25 * *rc::gen::inRange(0, 5);
   const auto found = cheapest_mix(problem);
-  const auto best = best_price(problem, 3);
+  const auto best = optimal_price(problem, 3);
   RC_ASSERT(found.meets_requirements == (shortfall_of(problem, found.counts) == 0));
   if (best) {
-    // The search is a heuristic; instances that carry up to three quarters of the demand each are
-    // its hardest case.
+    // The search is a heuristic. Its hardest case are instances that serve up to three quarters of
+    // the demand each.
     constexpr double allowed_excess = 1.2;
     RC_ASSERT(found.meets_requirements);
     RC_ASSERT(found.price_per_hour <= *best * allowed_excess + 1e-9);
--- a/test/capacity/planner_test.cc
+++ b/test/capacity/planner_test.cc
@@ -26,7 +26,8 @@
 
   std::vector<pool_instance>& instances() { return input_.pools.at(0).instances; }
 
-  // Starts what the planner wants, lists it, and has it load its models.
+  // Answers the planner's launches, adds their instances to the list and has them load their
+  // models.
   void bring_up(std::chrono::milliseconds since_start)
   {
     for (const auto& l : launches(since_start)) {
@@ -64,13 +65,13 @@
   EXPECT_EQ(keys, (std::set{key_of("a", true), key_of("b", true), key_of("c", true)}));
 }
 
-TEST_F(PlannerTest, LaunchesNothingMoreWhileLaunchesAreOnTheirWay)
+TEST_F(PlannerTest, LaunchesNothingMoreWhileLaunchesArePending)
 {
   launches(0s);
   EXPECT_EQ(launches(1s).size(), 0U);
 }
 
-TEST_F(PlannerTest, AsksAgainWithTheSameTokenAfterALostAnswer)
+TEST_F(PlannerTest, RetriesALaunchWithTheSameTokenAfterALostAnswer)
 {
   const auto first = launches(0s).at(0).token;
   planner_.on_launch_answered(first, launch_unanswered{}, at(1s));
@@ -79,7 +80,7 @@
   EXPECT_EQ(again.at(0).token, first);
 }
 
-TEST_F(PlannerTest, SettlesALostAnswerByTheInstanceList)
+TEST_F(PlannerTest, ResolvesALostAnswerByTheInstanceList)
 {
   for (const auto& l : launches(0s)) {
     planner_.on_launch_answered(l.token, launch_unanswered{}, at(1s));
@@ -88,19 +89,19 @@
   EXPECT_EQ(launches(10s).size(), 0U);
 }
 
-TEST_F(PlannerTest, ANewHolderAsksForTheLaunchesOfTheFormerOne)
+TEST_F(PlannerTest, ANewHolderRetriesTheLaunchesOfTheFormerOne)
 {
   const auto tokens = launches(0s);
   planner successor{planner_options{}};
   successor.take_over(8, decode_launches(encode_launches(planner_.launches())));
-  std::set<std::string> asked;
+  std::set<std::string> retried;
   for (const auto& l : all_of_type<launch>(successor.plan(input_, at(1s)))) {
-    asked.insert(l.token);
+    retried.insert(l.token);
   }
-  EXPECT_EQ(asked, (std::set{tokens.at(0).token, tokens.at(1).token, tokens.at(2).token}));
+  EXPECT_EQ(retried, (std::set{tokens.at(0).token, tokens.at(1).token, tokens.at(2).token}));
 }
 
-TEST_F(PlannerTest, FallsToTheNextCheapestAfterARefusal)
+TEST_F(PlannerTest, FallsBackToTheNextCheapestOfferAfterARefusal)
 {
   for (const auto& l : launches(0s)) {
     planner_.on_launch_answered(l.token, launch_refused{}, at(0s));
@@ -127,12 +128,12 @@
   EXPECT_EQ(planner_.reports().at(0).serving, 0);
 }
 
-TEST_F(PlannerTest, LoadsQueueAgainstTheWeightStoresRate)
+TEST_F(PlannerTest, PacesLoadsToTheRateOfTheWeightStore)
 {
   for (const auto& l : launches(0s)) {
     instances().push_back(instance_of(l, "i-" + l.token));
   }
-  EXPECT_EQ(all_of_type<order_load>(plan(1s)).size(), 1U) << "one gigabyte at one a second";
+  EXPECT_EQ(all_of_type<order_load>(plan(1s)).size(), 1U) << "loading 1 GB at 1 GB/s";
   EXPECT_EQ(all_of_type<order_load>(plan(1'500ms)).size(), 0U);
   EXPECT_EQ(all_of_type<order_load>(plan(2s)).size(), 1U);
 }
@@ -147,11 +148,11 @@
 {
   bring_up(0s);
   instances().at(0).leaving = true;
-  const auto struck = instances().at(0).key;
+  const auto reclaimed_key = instances().at(0).key;
   const auto replacements = launches(60s);
   ASSERT_FALSE(replacements.empty());
   for (const auto& l : replacements) {
-    EXPECT_NE(l.key, struck) << "the wave goes on there";
+    EXPECT_NE(l.key, reclaimed_key) << "instances of this offer are being reclaimed";
   }
 }
 
@@ -175,7 +176,7 @@
 TEST_F(PlannerTest, ReleasesWhatIsReplacedOnceTheReplacementServes)
 {
   bring_up(0s);
-  const auto dear = instances().at(0).id;
+  const auto expensive = instances().at(0).id;
   ASSERT_EQ(instances().at(0).key, key_of("a", true));
   set_price("a", true, 0.9);
   set_price("a", false, 0.1);
@@ -187,7 +188,7 @@
   }
   const auto released = all_of_type<release>(plan(70s));
   ASSERT_EQ(released.size(), 1U);
-  EXPECT_EQ(released.at(0).id, dear);
+  EXPECT_EQ(released.at(0).id, expensive);
 }
 
 TEST_F(PlannerTest, KeepsInstancesThroughAShortLull)
@@ -204,7 +205,7 @@
   EXPECT_EQ(all_of_type<release>(plan(20min)).size(), 3U);
 }
 
-TEST_F(PlannerTest, ReleasesAnInstanceOnceThoughTheListLags)
+TEST_F(PlannerTest, ReleasesAnInstanceOnceWhileTheListIsDelayed)
 {
   bring_up(0s);
   input_.pools.at(0).demand = {};
@@ -212,7 +213,7 @@
   EXPECT_EQ(all_of_type<release>(plan(20min + 5s)).size(), 0U);
 }
 
-TEST_F(PlannerTest, GivesUpALaunchThatNeverServes)
+TEST_F(PlannerTest, ReleasesALaunchedInstanceThatNeverServes)
 {
   const auto l = launches(0s).at(0);
   planner_.on_launch_answered(l.token, launch_started{instance_id("stuck")}, at(1s));
@@ -230,7 +231,7 @@
   EXPECT_NE(wanted.at(0).key.zone, wanted.at(1).key.zone);
 }
 
-TEST_F(PlannerTest, KnowsReclaimsThatItObservedBeforeItTookOver)
+TEST_F(PlannerTest, AvoidsOffersWithReclaimsObservedBeforeItTookOver)
 {
   planner successor{planner_options{}};
   input_.pools.at(0).instances.push_back(
@@ -243,13 +244,13 @@
   }
 }
 
-TEST_F(PlannerTest, LeavesAPoolWithoutRoomAlone)
+TEST_F(PlannerTest, IgnoresAPoolWhoseMaximumIsZero)
 {
   input_.pools.at(0).pool.max_instances = 0;
   EXPECT_EQ(plan(0s).size(), 0U);
 }
 
-TEST_F(PlannerTest, SaysWhyAnInstanceIsThere)
+TEST_F(PlannerTest, ExplainsWhyAnInstanceIsKept)
 {
   bring_up(0s);
   plan(60s);
--- a/test/gateway/demand_meter_test.cc
+++ b/test/gateway/demand_meter_test.cc
@@ -22,7 +22,8 @@
   // The first token of a prompt of `tokens` arrives `after` it was sent to an idle endpoint.
   void answer(int tokens, mono_time::duration after)
   {
-    meter_.on_first_token("chat", {.prefill_tokens = tokens, .sent_at = start, .found_idle = true},
+    meter_.on_first_token("chat",
+                          {.prefill_tokens = tokens, .sent_at = start, .sent_when_idle = true},
                           start + after);
   }
 
--- a/test/routing/choose_endpoint_test.cc
+++ b/test/routing/choose_endpoint_test.cc
@@ -36,7 +36,7 @@
     return choose_endpoint(view(), request, table_.slots(), start, rng_);
   }
 
-  // Sixteen whole blocks.
+  // A prompt of 16 full blocks.
   static std::string make_prompt()
   {
     std::string out;
@@ -46,10 +46,10 @@
     return out;
   }
 
-  routing_view view() const { return {table_, belief_, options_}; }
+  routing_view view() const { return {table_, cache_index_, options_}; }
 
   endpoint_table table_{{}};
-  prefix_belief belief_{{}};
+  prefix_cache_index cache_index_{{}};
   routing_options options_{.availability_zone = availability_zone("z1")};
   std::mt19937_64 rng_{7};
   std::vector<std::uint64_t> blocks_ = prefix_block_hashes(model_id("m"), make_prompt());
@@ -72,7 +72,7 @@
 {
   add("cold");
   const auto warm = add("warm");
-  belief_.on_sent(warm, blocks_, start);
+  cache_index_.on_sent(warm, blocks_, start);
   const auto chosen = std::get<chosen_endpoint>(choose(request_));
   EXPECT_EQ(chosen.slot, warm);
   EXPECT_EQ(chosen.parts.cached_tokens, 1024);
@@ -82,20 +82,20 @@
 {
   options_.price_preference = 1;
   const auto cheap = add("cheap", 1);
-  const auto dear = add("dear", 4);
+  const auto expensive = add("dear", 4);
   report(cheap, 2);
-  report(dear, 0);
+  report(expensive, 0);
   EXPECT_EQ(std::get<chosen_endpoint>(choose(request_)).slot, cheap);
 }
 
-TEST_F(ChooseEndpointTest, LeavesACheapEndpointThatMissesTheTarget)
+TEST_F(ChooseEndpointTest, AvoidsACheapEndpointThatMissesTheTarget)
 {
   options_.price_preference = 1;
   const auto cheap = add("cheap", 1);
-  const auto dear = add("dear", 4);
+  const auto expensive = add("dear", 4);
   report(cheap, 15);
-  report(dear, 0);
-  EXPECT_EQ(std::get<chosen_endpoint>(choose(request_)).slot, dear);
+  report(expensive, 0);
+  EXPECT_EQ(std::get<chosen_endpoint>(choose(request_)).slot, expensive);
 }
 
 TEST_F(ChooseEndpointTest, SkipsEndpointsExcludedByEarlierAttempts)
@@ -118,7 +118,7 @@
   EXPECT_TRUE(std::holds_alternative<chosen_endpoint>(made));
 }
 
-TEST_F(ChooseEndpointTest, RefusesWithALaterTimeWhenTheDeadlineCannotBeMet)
+TEST_F(ChooseEndpointTest, ReturnsARetryTimeWhenTheDeadlineCannotBeMet)
 {
   report(add("busy"), 200);
   const auto refused = std::get<no_endpoint>(choose(request_));
@@ -127,7 +127,7 @@
   EXPECT_GT(*refused.retry_at, start);
 }
 
-TEST_F(ChooseEndpointTest, SpreadsOverNearEquals)
+TEST_F(ChooseEndpointTest, ChoosesAtRandomAmongNearlyEqualEndpoints)
 {
   for (int i = 0; i < 8; ++i) {
     add("e" + std::to_string(i));
@@ -148,9 +148,9 @@
   const auto chosen = std::get<chosen_endpoint>(choose(request_));
   const auto lines = explain_choice(view(), request_, table_.slots(), start, same_rng);
   ASSERT_EQ(lines.size(), 3U);
-  EXPECT_EQ(lines[chosen.slot].result, verdict::chosen);
-  EXPECT_EQ(lines[1].result, verdict::worse);
-  EXPECT_EQ(lines[2].result, verdict::leaving);
+  EXPECT_EQ(lines[chosen.slot].result, candidate_outcome::chosen);
+  EXPECT_EQ(lines[1].result, candidate_outcome::worse);
+  EXPECT_EQ(lines[2].result, candidate_outcome::leaving);
 }
 
 RC_GTEST_FIXTURE_PROP(ChooseEndpointTest, NeverChoosesALeavingOrExcludedEndpoint, ())
--- a/test/routing/prefix_belief_test.cc
+++ b/test/routing/prefix_belief_test.cc
@@ -14,69 +14,71 @@
 constexpr mono_time start{seconds(1000)};
 constexpr std::array<std::uint64_t, 3> blocks = {11, 22, 33};
 
-std::uint32_t matched(const prefix_belief& belief, endpoint_slot slot, mono_time now)
+std::uint32_t matched(const prefix_cache_index& cache_index, endpoint_slot slot, mono_time now)
 {
   std::array<std::uint32_t, 4> depth{};
-  belief.match(blocks, now, depth);
+  cache_index.match(blocks, now, depth);
   return depth[slot];
 }
 
-TEST(PrefixBeliefTest, HoldsWhatWasSent)
+TEST(PrefixCacheIndexTest, MatchesTheBlocksThatWereSent)
 {
-  prefix_belief belief({});
-  belief.on_sent(1, blocks, start);
-  EXPECT_EQ(matched(belief, 1, start), 3U);
-  EXPECT_EQ(matched(belief, 0, start), 0U);
+  prefix_cache_index cache_index({});
+  cache_index.on_sent(1, blocks, start);
+  EXPECT_EQ(matched(cache_index, 1, start), 3U);
+  EXPECT_EQ(matched(cache_index, 0, start), 0U);
 }
 
-TEST(PrefixBeliefTest, CountsOnlyTheUnbrokenPrefix)
+TEST(PrefixCacheIndexTest, CountsOnlyTheContiguousPrefix)
 {
-  prefix_belief belief({});
-  belief.on_event(1, {.sequence = 1, .prefix_hash = 11}, start);
-  belief.on_event(1, {.sequence = 3, .prefix_hash = 33}, start);
-  EXPECT_EQ(matched(belief, 1, start), 1U);
+  prefix_cache_index cache_index({});
+  cache_index.on_event(1, {.sequence = 1, .prefix_hash = 11}, start);
+  cache_index.on_event(1, {.sequence = 3, .prefix_hash = 33}, start);
+  EXPECT_EQ(matched(cache_index, 1, start), 1U);
 }
 
-TEST(PrefixBeliefTest, DropsABlockReportedAsEvicted)
+TEST(PrefixCacheIndexTest, RemovesABlockReportedAsEvicted)
 {
-  prefix_belief belief({});
-  belief.on_sent(1, blocks, start);
-  belief.on_event(1, {.prefix_hash = 33, .kind = cache_event::kind::evicted}, start + seconds(60));
-  EXPECT_EQ(matched(belief, 1, start + seconds(60)), 2U);
+  prefix_cache_index cache_index({});
+  cache_index.on_sent(1, blocks, start);
+  cache_index.on_event(1, {.prefix_hash = 33, .kind = cache_event::kind::evicted},
+                       start + seconds(60));
+  EXPECT_EQ(matched(cache_index, 1, start + seconds(60)), 2U);
 }
 
-TEST(PrefixBeliefTest, IgnoresAnEvictionOlderThanOurOwnSend)
+TEST(PrefixCacheIndexTest, IgnoresADelayedEvictionEventAfterASend)
 {
-  prefix_belief belief({});
-  belief.on_sent(1, blocks, start);
-  belief.on_event(1, {.prefix_hash = 33, .kind = cache_event::kind::evicted}, start + seconds(1));
-  EXPECT_EQ(matched(belief, 1, start + seconds(1)), 3U);
+  prefix_cache_index cache_index({});
+  cache_index.on_sent(1, blocks, start);
+  cache_index.on_event(1, {.prefix_hash = 33, .kind = cache_event::kind::evicted},
+                       start + seconds(1));
+  EXPECT_EQ(matched(cache_index, 1, start + seconds(1)), 3U);
 }
 
-TEST(PrefixBeliefTest, ForgetsWhatWasNotTouchedForLong)
+TEST(PrefixCacheIndexTest, ExpiresBlocksThatWereNotUpdatedForLong)
 {
-  prefix_belief belief({.forget_after = seconds(10)});
-  belief.on_sent(1, blocks, start);
-  EXPECT_EQ(matched(belief, 1, start + seconds(11)), 0U);
+  prefix_cache_index cache_index({.expire_after = seconds(10)});
+  cache_index.on_sent(1, blocks, start);
+  EXPECT_EQ(matched(cache_index, 1, start + seconds(11)), 0U);
 }
 
-TEST(PrefixBeliefTest, StaysWithinItsLimit)
+TEST(PrefixCacheIndexTest, StaysWithinItsLimit)
 {
-  prefix_belief belief({.max_blocks = 100});
+  prefix_cache_index cache_index({.max_blocks = 100});
   for (std::uint64_t i = 0; i < 1000; ++i) {
-    belief.on_sent(1, std::array{i}, start);
-    ASSERT_LE(belief.size(), 100U);
+    cache_index.on_sent(1, std::array{i}, start);
+    ASSERT_LE(cache_index.size(), 100U);
   }
 }
 
-TEST(PrefixBeliefTest, ForgetsAnEndpointThatIsGone)
+TEST(PrefixCacheIndexTest, RemovesTheBlocksOfOneEndpoint)
 {
-  prefix_belief belief({});
-  belief.on_sent(1, blocks, start);
-  belief.on_sent(2, blocks, start);
-  belief.forget(1);
-  EXPECT_EQ(matched(belief, 1, start), 0U);
-  EXPECT_EQ(matched(belief, 2, start), 3U);
+  prefix_cache_index cache_index({});
+  cache_index.on_sent(1, blocks, start);
+  cache_index.on_sent(2, blocks, start);
+  cache_index.remove_endpoint(1);
+  EXPECT_EQ(matched(cache_index, 1, start), 0U);
+  EXPECT_EQ(matched(cache_index, 2, start), 3U);
 }
 
 // `n` words, each of them `word`.
@@ -89,7 +91,7 @@
   return out;
 }
 
-TEST(PrefixBlocksTest, SharesTheHashesOfASharedPrefixOnly)
+TEST(PrefixBlocksTest, GivesEqualHashesToASharedPrefixOnly)
 {
   const auto shared = words(2 * prefix_block_words, "s");
   const auto a = prefix_block_hashes(model_id("m"), shared + words(prefix_block_words, "a"));
