--- a/bench/claims_bench.cc
+++ b/bench/claims_bench.cc
@@ -132,7 +132,7 @@
                           .created = clock().wall,
                           .executor = daemon_id("daemon-" + std::to_string(token % 8)),
                           .nonce = token};
-    give(claim_asked{.token = token, .request = std::move(request)});
+    give(claim_received{.token = token, .request = std::move(request)});
   }
 
   void note_reply(const send_reply& reply)
@@ -153,7 +153,7 @@
     owner_ = claim_shard_owner(
         {.shard = shard_, .self = daemon_id("next"), .settings = settings_, .seed = 1});
     give(ownership_desired{true});
-    while (owner_.standing() != ownership::owning) {
+    while (owner_.state() != ownership::owning) {
       now_ += milliseconds{1};
       answer_calls();
     }
--- a/bench/membership_bench_fleet.cc
+++ b/bench/membership_bench_fleet.cc
@@ -148,11 +148,11 @@
       gossip_options{
           .seed = options_.seed * 1'000'003 + static_cast<std::uint64_t>(i),
           .usage = {.self = id, .zone = self.attributes.zone},
-          .holds = [this](const daemon_id& d,
-                          const endpoint_id& e) { return held_[number_of(d)].contains(e); }},
+          .is_in_subset = [this](const daemon_id& d,
+                                 const endpoint_id& e) { return held_[number_of(d)].contains(e); }},
       *n.view, at(0));
   for (int w = 0; w < options_.workspaces; ++w) {
-    n.gossip->usage().set_own(workspace_id{name_of("workspace-", w)}, 700, 3);
+    n.gossip->usage().set_local_usage(workspace_id{name_of("workspace-", w)}, 700, 3);
   }
   for (const auto& e : held_[i]) {
     n.gossip->set_load(
@@ -226,7 +226,7 @@
 void bench_fleet::announce(int daemon, const member_key& key, std::int64_t reclaim_in_ms)
 {
   auto& n = nodes_[daemon];
-  n.view->announce_leaving(key, at(now_ms_ + reclaim_in_ms).wall, at(now_ms_));
+  n.view->mark_leaving(key, at(now_ms_ + reclaim_in_ms).wall, at(now_ms_));
   send(daemon, n.gossip->tick(at(now_ms_)));
 }
 
--- a/include/wisteriaflow/claims/claim_shard_owner.h
+++ b/include/wisteriaflow/claims/claim_shard_owner.h
@@ -1,11 +1,12 @@
-// The owner of one shard of claims, at one daemon.
+// The owner of one shard of claims: a state machine in one daemon.
 //
-// Claims are gathered and written to the shard's tail in one conditional update at a time. A claim
-// is granted only once its entry is durable. A takeover reads the tail and the segments it lists
-// and then raises the epoch by a conditional update, after which no update of a former owner can
-// land; so no lease has to be waited out, and a former owner that was paused cannot grant anything
-// new. An update whose answer was lost is settled by reading the tail back and, if it has not
-// landed, sending it again: it is given up only when it can no longer land.
+// Claims are collected and written to the shard's tail object in batches, with one conditional
+// update at a time. A claim is granted only once its entry is stored. A takeover reads the tail and
+// the segments that it lists, and then raises the epoch by a conditional update. After that, no
+// update of a former owner can succeed. A takeover therefore need not wait for a lease to expire,
+// and a former owner that was paused cannot grant new claims. If an update got no answer, the owner
+// reads the tail back and, if the update has not taken effect, sends it again. It gives the update
+// up only when it can no longer take effect.
 //
 //   claim_shard_owner owner({.shard = 3, .self = me, .settings = {}, .seed = random});
 //   for (const auto& action : owner.handle(ownership_desired{true}, now)) { … }
@@ -27,17 +28,17 @@
   std::uint32_t shard = 0;
   daemon_id self;
   claim_settings settings;
-  // Different for every process, also for one that restarts under the same id.
+  // Must differ for every process, also for one that restarts under the same id.
   std::uint64_t seed = 0;
 };
 
-// Where an owner stands in its life.
+// The state of an owner, as other code sees it.
 enum class ownership {
   not_owner,
   taking_over, // reading the tail and its segments, or writing the takeover
   owning,
-  settling,  // the answer to an update was lost
-  releasing, // claims that have come in are finished; new ones are turned away
+  settling,  // an update got no answer; finding out whether it took effect
+  releasing, // pending claims are completed; new ones are rejected
 };
 
 class claim_shard_owner {
@@ -49,13 +50,13 @@
   claim_shard_owner& operator=(claim_shard_owner&&) noexcept;
   ~claim_shard_owner();
 
-  // Takes one event and returns what is to be done, in order.
+  // Handles one event and returns the actions to carry out, in order.
   [[nodiscard]] std::vector<owner_action> handle(const owner_event& event, clock_reading now);
 
   // When the next tick is due; nothing if only other events matter.
   [[nodiscard]] std::optional<mono_time> wake_at() const;
 
-  [[nodiscard]] ownership standing() const;
+  [[nodiscard]] ownership state() const;
 
  private:
   class impl;
--- a/include/wisteriaflow/claims/errors.h
+++ b/include/wisteriaflow/claims/errors.h
@@ -7,7 +7,7 @@
 
 namespace wisteriaflow::claims {
 
-// Base of the package's errors.
+// Base class of the package's errors.
 class claims_error : public error {
  public:
   using error::error;
--- a/include/wisteriaflow/claims/owner_events.h
+++ b/include/wisteriaflow/claims/owner_events.h
@@ -1,14 +1,15 @@
-// What goes into a shard's owner and what comes out of it.
+// The events that a shard's owner handles and the actions that it returns.
 //
 // The owner has at most one tail call, segment read or segment create open at a time; deletes run
-// beside it. A shell carries out each store_call against the object API and hands back one
-// store_answer with the same id, then or after a restart of the call's timeout:
+// in parallel. The caller carries out each store_call against the object API and passes back one
+// store_answer with the same id, if need be after it has restarted the call's timeout. These are
+// the possible results:
 //
 //   read_tail       tail_value | unavailable
-//   update_tail     written | conflict | lost | unavailable
+//   update_tail     written | conflict | unanswered | unavailable
 //   read_segment    segment_value | missing | unavailable
-//   create_segment  written | conflict | lost | unavailable
-//   delete_segment  written | lost | unavailable
+//   create_segment  written | conflict | unanswered | unavailable
+//   delete_segment  written | unanswered | unavailable
 
 #ifndef WISTERIAFLOW_CLAIMS_OWNER_EVENTS_H_
 #define WISTERIAFLOW_CLAIMS_OWNER_EVENTS_H_
@@ -26,7 +27,7 @@
   friend bool operator==(const read_tail&, const read_tail&) = default;
 };
 
-// Replaces the tail if its version is `expected_version`; 0 creates it if it is absent.
+// Replaces the tail if its version is `expected_version`; 0 creates it if it does not exist.
 struct update_tail {
   std::uint64_t expected_version = 0;
   shard_tail tail;
@@ -38,7 +39,7 @@
   friend bool operator==(const read_segment&, const read_segment&) = default;
 };
 
-// Creates a segment if its name is free.
+// Creates a segment if no object with its name exists.
 struct create_segment {
   claim_segment segment;
   friend bool operator==(const create_segment&, const create_segment&) = default;
@@ -59,12 +60,13 @@
   store_operation operation;
 };
 
-// The tail as read; version 0 and no tail if it does not exist.
+// The tail that was read; version 0 and no tail if it does not exist.
 struct tail_value {
   std::uint64_t version = 0;
   std::optional<shard_tail> tail;
 };
 
+// The segment that was read.
 struct segment_value {
   claim_segment segment;
 };
@@ -72,22 +74,23 @@
 // The segment does not exist.
 struct missing {};
 
-// The write took effect; `version` is that of the object written.
+// The write took effect; `version` is the version of the written object.
 struct written {
   std::uint64_t version = 0;
 };
 
-// The write did not take effect: another version, or the name is taken.
+// The write did not take effect: the version differs, or the name is taken.
 struct conflict {};
 
-// The write may have taken effect, or may still do so.
-struct lost {};
+// A write without an answer: it may have taken effect, or may still do so.
+struct unanswered {};
 
-// A read failed, or a write certainly neither took effect nor will, as when no connection was made.
+// A read failed, or a write certainly has not taken effect and never will, for example because no
+// connection was made.
 struct unavailable {};
 
 using store_result =
-    std::variant<tail_value, segment_value, missing, written, conflict, lost, unavailable>;
+    std::variant<tail_value, segment_value, missing, written, conflict, unanswered, unavailable>;
 
 struct store_answer {
   std::uint64_t id = 0;
@@ -99,17 +102,18 @@
   bool desired = false;
 };
 
-// A claim has come in; the reply goes to `token`.
-struct claim_asked {
+// A claim was received; the reply goes to `token`.
+struct claim_received {
   std::uint64_t token = 0;
   claim_request request;
 };
 
-// Time has passed: due at claim_shard_owner::wake_at().
+// Time has passed; due at claim_shard_owner::wake_at().
 struct tick {};
 
-using owner_event = std::variant<ownership_desired, claim_asked, store_answer, tick>;
+using owner_event = std::variant<ownership_desired, claim_received, store_answer, tick>;
 
+// Send `reply` to the sender of the claim that was received with `token`.
 struct send_reply {
   std::uint64_t token = 0;
   claim_reply reply;
--- a/include/wisteriaflow/claims/request_key.h
+++ b/include/wisteriaflow/claims/request_key.h
@@ -1,5 +1,5 @@
-// The key of a non-idempotent request: a version 7 UUID (RFC 9562), whose leading 48 bits are the
-// time of its creation. That time bounds how long the key has to be remembered.
+// The key of a non-idempotent request: a version 7 UUID (RFC 9562), whose first 48 bits are its
+// creation time. That time limits how long the key has to be stored.
 //
 //   const auto key = request_key::parse("019079e2-4c00-7abc-8def-0123456789ab", now);
 //   const auto id = key.hash_for(workspace);
@@ -18,23 +18,23 @@
 
 namespace wisteriaflow::claims {
 
-// How far a caller's clock may run ahead of ours before its keys are refused.
+// How far a caller's clock may be ahead of this daemon's before its keys are refused.
 inline constexpr std::chrono::milliseconds max_key_lead = std::chrono::seconds{60};
 
 // A parsed key, in lower case.
 class request_key {
  public:
-  // Reads `text`. Throws invalid_key_error if it is no version 7 UUID, or was created more than
+  // Parses `text`. Throws invalid_key_error if it is not a version 7 UUID or was created more than
   // `max_lead` after `now`.
   static request_key parse(std::string_view text, wall_time now,
                            std::chrono::milliseconds max_lead = max_key_lead);
 
   [[nodiscard]] const std::string& text() const { return text_; }
 
-  // When the caller made the key, by the caller's clock.
+  // When the caller created the key, by the caller's clock.
   [[nodiscard]] wall_time created() const { return created_; }
 
-  // What the key is stored as: equal keys of two workspaces differ.
+  // The hash under which the key is stored. Equal keys of two workspaces have different hashes.
   [[nodiscard]] hash128 hash_for(const workspace_id& workspace) const;
 
   friend auto operator<=>(const request_key&, const request_key&) = default;
--- a/include/wisteriaflow/membership/address_book.h
+++ b/include/wisteriaflow/membership/address_book.h
@@ -1,12 +1,13 @@
-// The answer to a caller's question which daemon to use.
+// Chooses the daemon addresses that a caller should use.
 //
-// A workspace's callers are kept on few daemons, more for a larger share, so that its prefixes meet
-// again; among these the caller's availability zone goes first, and callers are spread by a
-// rendezvous of caller and workspace.
+// A workspace's callers are sent to a few daemons, more for a workspace with a larger share of the
+// work, so that its requests with the same prompt prefix meet at the same daemons. Among these
+// daemons, those in the caller's availability zone come first, and callers are distributed by a
+// rendezvous hash of caller and workspace.
 //
-//   address_book book({});
-//   auto answer = book.addresses_for({.zone = zone, .workspace = w, .caller = "10.0.0.7"},
-//                                    view.live_daemons(), now.wall);
+//   address_selector selector({});
+//   auto answer = selector.addresses_for({.zone = zone, .workspace = w, .caller = "10.0.0.7"},
+//                                        view.live_daemons(), now.wall);
 
 #ifndef WISTERIAFLOW_MEMBERSHIP_ADDRESS_BOOK_H_
 #define WISTERIAFLOW_MEMBERSHIP_ADDRESS_BOOK_H_
@@ -23,22 +24,22 @@
 
 namespace wisteriaflow::membership {
 
-struct address_book_options {
-  std::size_t addresses = 3;
-  // How long a caller keeps an answer.
-  std::chrono::milliseconds kept_for{10'000};
-  // A workspace with share s of the fleet's work is put on `headroom` × s × daemons of them, and
-  // never under `fewest_daemons`.
+struct address_selector_options {
+  std::size_t max_addresses = 3;
+  // How long a caller may use an answer before it asks again.
+  std::chrono::milliseconds validity{10'000};
+  // A workspace with share s of the fleet's work is assigned `headroom` × s × (number of daemons)
+  // daemons, and at least `min_daemons`.
   double headroom = 2;
-  std::size_t fewest_daemons = 4;
+  std::size_t min_daemons = 4;
 };
 
 struct address_query {
   availability_zone zone;
   workspace_id workspace;
-  // Anything that tells callers apart, such as the address.
+  // Any text that distinguishes callers, such as the address.
   std::string caller;
-  // The workspace's part of the fleet's work, 0 to 1.
+  // The workspace's share of the fleet's work, 0 to 1.
   double share = 0;
 };
 
@@ -50,27 +51,28 @@
 };
 
 struct address_answer {
-  // Best first; empty only if no daemon is live.
+  // In order of preference; empty only if no daemon is live.
   std::vector<daemon_address> addresses;
-  wall_time good_until;
+  wall_time valid_until;
 
   friend bool operator==(const address_answer&, const address_answer&) = default;
 };
 
-class address_book {
+class address_selector {
  public:
-  explicit address_book(address_book_options options) : options_(options) {}
+  explicit address_selector(address_selector_options options) : options_(options) {}
 
-  // `live_daemons` leaves out leaving and suspected ones; see membership_view::live_daemons.
+  // Chooses addresses for a caller. `live_daemons` must not contain leaving or suspected daemons;
+  // see membership_view::live_daemons.
   [[nodiscard]] address_answer addresses_for(const address_query& query,
                                              std::span<const member* const> live_daemons,
                                              wall_time now) const;
 
-  // How many of `daemons` serve a workspace with this share.
-  [[nodiscard]] std::size_t daemons_for(double share, std::size_t daemons) const;
+  // Returns how many of `daemons` serve a workspace with this share.
+  [[nodiscard]] std::size_t daemon_count_for(double share, std::size_t daemons) const;
 
  private:
-  address_book_options options_;
+  address_selector_options options_;
 };
 
 } // namespace wisteriaflow::membership
--- a/include/wisteriaflow/membership/gossip.h
+++ b/include/wisteriaflow/membership/gossip.h
@@ -1,16 +1,18 @@
-// Spreads one daemon's view to its peers, at flat cost.
+// Disseminates one daemon's membership view to its peers. The traffic of a daemon does not grow
+// with the fleet.
 //
-// Three mechanisms, each for what the others do badly:
-//  - An *urgent push* for each member that starts to leave: at once to a few random peers, who
-//    push it on themselves on first hearing it, repeated a fixed number of times. So it outlives
-//    the daemon that was told first.
-//  - An *exchange* each period with a random peer: fresh records and a bounded number of fresh
-//    heartbeats, those sent least often first.
-//  - *Repair*: an exchange compares the views' hashes. If they differ, the sender asks again with
-//    the hashes of the view's parts, and gets the records of the parts that differ, as far as they
-//    changed since the version of the peer's view it has already seen.
+// Three mechanisms cover each other's weaknesses:
+// - An *urgent push* announces each member that starts to leave. It goes at once to a few random
+//   peers, which push it on when they first receive it, and each daemon repeats it a fixed number
+//   of times. The update therefore survives if the daemon that received it first ends.
+// - An *exchange* runs each period with each of `fanout` random peers. It carries recently changed
+//   records and a bounded number of recent heartbeats, those sent least often first.
+// - *Repair* (anti-entropy): an exchange compares the hashes of the two views. If they differ, the
+//   sender sends a second request with the hashes of the view's buckets. The reply contains the
+//   records of the buckets that differ, as far as they changed since the version of the peer's view
+//   that the sender has already seen.
 //
-// Pure: messages and the time go in, messages to send come out.
+// The class does no I/O: it takes messages and the time, and returns the messages to send.
 
 #ifndef WISTERIAFLOW_MEMBERSHIP_GOSSIP_H_
 #define WISTERIAFLOW_MEMBERSHIP_GOSSIP_H_
@@ -36,36 +38,38 @@
 
 struct gossip_options {
   std::chrono::milliseconds period{1000};
-  // Peers of one exchange.
+  // Number of peers that the daemon exchanges with in each period.
   int fanout = 2;
-  // An urgent record goes to `urgent_fanout` peers, `urgent_pushes` times, `urgent_gap` apart.
+  // An urgent record goes to `urgent_fanout` peers, `urgent_pushes` times, `urgent_interval` apart.
   int urgent_fanout = 4;
   int urgent_pushes = 4;
-  std::chrono::milliseconds urgent_gap{200};
-  // Peers of the first push of what this daemon was told other than by gossip.
-  int told_fanout = 8;
-  // News that comes sooner after a push than this waits, so that a wave shares its messages.
-  std::chrono::milliseconds urgent_batch{50};
-  // Bounds of one message.
-  std::size_t max_news = 128;
+  std::chrono::milliseconds urgent_interval{200};
+  // Number of peers of the first push of an update that this daemon did not receive by gossip.
+  int origin_fanout = 8;
+  // An update that arrives sooner than this after a push waits, so that updates that arrive
+  // together share their messages.
+  std::chrono::milliseconds urgent_batch_delay{50};
+  // Limits on the content of one message.
+  std::size_t max_updates = 128;
   std::size_t max_heartbeats = 64;
-  std::size_t max_repair = 256;
+  std::size_t max_repair_records = 256;
   std::size_t max_loads = 32;
-  // How often a heartbeat is sent on by each daemon that hears it.
+  // How often each daemon that receives a heartbeat forwards it.
   int heartbeat_sends = 4;
-  // Repair waits for this long after a change, while the news still spreads by itself.
+  // Repair waits this long after a change, while normal gossip still disseminates it.
   std::chrono::milliseconds repair_delay{2000};
-  // Of the choice of peers; different in each daemon.
+  // Seed of the choice of peers; must differ between daemons.
   std::uint64_t seed = 0;
-  usage_ledger_options usage;
-  // Whether a peer's subset holds an endpoint: its load is then worth sending. Empty: none.
-  std::function<bool(const daemon_id&, const endpoint_id&)> holds;
+  usage_aggregator_options usage;
+  // Returns whether the endpoint is in the peer's subset. The endpoint's load is sent only to such
+  // peers. Empty: loads are sent to no peer.
+  std::function<bool(const daemon_id&, const endpoint_id&)> is_in_subset;
 };
 
-// What a received message calls for.
+// What to send after a message was received.
 struct gossip_response {
   gossip_message reply;
-  // To be sent at once.
+  // Send these at once.
   std::vector<outgoing_gossip> pushes;
 };
 
@@ -74,47 +78,53 @@
   // `view` must outlive the gossiper.
   gossiper(gossip_options options, membership_view& view, clock_reading now);
 
-  // Messages that are due. Call at `next_due()`, and at once after the view heard of a leaving
-  // member from elsewhere.
+  // Returns the messages that are due. Call it at `next_due()`, and at once after the view learned
+  // of a leaving member from another source than gossip.
   std::vector<outgoing_gossip> tick(clock_reading now);
+  // When tick next returns messages.
   [[nodiscard]] mono_time next_due() const;
 
-  // A message from a peer.
+  // Handles a message from a peer.
   gossip_response receive(const gossip_message& message, clock_reading now);
 
-  // A peer's reply to a message of this daemon's; returns follow-ups to be sent at once.
+  // Handles a peer's reply to a message of this daemon; returns follow-up messages to send at once.
   std::vector<outgoing_gossip> receive_reply(const gossip_message& reply, clock_reading now);
 
-  // A message that could not be sent, or had no reply in time.
+  // Reports a message that could not be sent or that got no reply in time.
   void send_failed(const daemon_id& to, clock_reading now);
 
-  // The configuration in force here.
+  // Sets the revision and floor of the configuration that is in force at this daemon.
   void set_configuration(std::uint64_t revision, std::uint64_t floor);
 
-  // The highest configuration revision and floor heard of, and who has it.
+  // The highest configuration revision and floor that peers have reported, and a daemon that has
+  // that revision.
   struct known_configuration {
     std::uint64_t revision = 0;
     std::uint64_t floor = 0;
     daemon_id holder;
   };
-  [[nodiscard]] const known_configuration& highest_configuration() const { return highest_; }
+  [[nodiscard]] const known_configuration& highest_configuration() const
+  {
+    return highest_configuration_;
+  }
 
-  // An endpoint's load as this daemon measured it.
+  // Sets an endpoint's load as this daemon measured it.
   void set_load(const endpoint_load& load);
 
-  // Loads that peers measured since the last call.
+  // Returns the loads that peers have sent since the last call.
   std::vector<endpoint_load> take_loads();
 
-  [[nodiscard]] usage_ledger& usage() { return usage_; }
+  // The workspaces' usage, which is sent by gossip too.
+  [[nodiscard]] usage_aggregator& usage() { return usage_; }
 
  private:
-  void absorb(const gossip_message& message, clock_reading now);
-  void note_changes(bool spread, clock_reading now);
+  void merge_message(const gossip_message& message, clock_reading now);
+  void queue_changes(bool disseminate, clock_reading now);
   void note_agreement(const gossip_message& message);
-  gossip_message message_to(const daemon_id& to, gossip_kind kind, clock_reading now);
+  gossip_message make_message(const daemon_id& to, gossip_kind kind, clock_reading now);
   void add_heartbeats(gossip_message& message, clock_reading now);
   void add_loads(gossip_message& message, const daemon_id& to) const;
-  void add_repair(gossip_message& reply, const gossip_message& asked);
+  void add_repair(gossip_message& reply, const gossip_message& request);
   std::vector<const member*> choose_peers(int n);
   std::vector<outgoing_gossip> urgent_pushes(clock_reading now);
   std::vector<outgoing_gossip> exchanges(clock_reading now);
@@ -123,18 +133,18 @@
   gossip_options options_;
   membership_view& view_;
   std::mt19937_64 random_;
-  internal::news_board news_;
-  internal::heartbeat_board heartbeats_;
-  usage_ledger usage_;
-  internal::repair_pacer repair_;
-  known_configuration own_configuration_;
-  known_configuration highest_;
+  internal::update_queue updates_;
+  internal::heartbeat_queue heartbeats_;
+  usage_aggregator usage_;
+  internal::repair_scheduler repair_;
+  known_configuration local_configuration_;
+  known_configuration highest_configuration_;
   std::map<daemon_id, std::uint64_t> seen_versions_;
-  std::map<endpoint_id, endpoint_load> own_loads_;
-  std::vector<endpoint_load> heard_loads_;
-  std::uint64_t noted_version_ = 0;
-  // Whether what is to be pushed came from elsewhere than gossip.
-  bool told_ = false;
+  std::map<endpoint_id, endpoint_load> local_loads_;
+  std::vector<endpoint_load> received_loads_;
+  std::uint64_t queued_version_ = 0;
+  // Whether the next push contains updates that did not arrive by gossip.
+  bool has_local_updates_ = false;
   mono_time exchange_due_;
   mono_time urgent_due_;
 };
--- a/include/wisteriaflow/membership/internal/heartbeat_board.h
+++ b/include/wisteriaflow/membership/internal/heartbeat_board.h
@@ -1,7 +1,8 @@
-// Heartbeats that a daemon still sends on, and how often each has been.
+// Queue of received heartbeats that this daemon still forwards, with the number of times that each
+// has been sent.
 //
-// What has waited too long is dropped: a late counter of a dead daemon would pass for a sign of
-// life where the earlier ones were missed.
+// A heartbeat that has waited too long is dropped: if a dead daemon's counter arrived late at a
+// daemon that missed the earlier ones, it would count as a sign of life.
 
 #ifndef WISTERIAFLOW_MEMBERSHIP_INTERNAL_HEARTBEAT_BOARD_H_
 #define WISTERIAFLOW_MEMBERSHIP_INTERNAL_HEARTBEAT_BOARD_H_
@@ -17,34 +18,34 @@
 
 namespace wisteriaflow::membership::internal {
 
-struct heartbeat_board_options {
-  // Heartbeats in one message.
+struct heartbeat_queue_options {
+  // Maximum number of heartbeats in one message.
   std::size_t max_heartbeats = 64;
-  // How often each is sent on.
-  int sends = 4;
-  // How long each may wait for that.
-  std::chrono::milliseconds kept{5000};
+  // Number of times that each heartbeat is sent.
+  int max_sends = 4;
+  // Maximum time that a heartbeat stays in the queue.
+  std::chrono::milliseconds max_age{5000};
 };
 
-class heartbeat_board {
+class heartbeat_queue {
  public:
-  explicit heartbeat_board(heartbeat_board_options options) : options_(options) {}
+  explicit heartbeat_queue(heartbeat_queue_options options) : options_(options) {}
 
-  // Takes up a heartbeat that taught the view something.
+  // Adds a heartbeat that advanced the view's counter.
   void add(const heartbeat& beat, mono_time now);
 
-  // Heartbeats for one message, those sent least often first.
+  // Returns the heartbeats for one message, those sent least often first.
   std::vector<heartbeat> take(mono_time now);
 
  private:
-  struct kept_heartbeat {
+  struct queued_heartbeat {
     std::uint64_t counter = 0;
     int sends = 0;
-    mono_time lapses_at;
+    mono_time expires_at;
   };
 
-  heartbeat_board_options options_;
-  std::unordered_map<std::uint64_t, kept_heartbeat> kept_;
+  heartbeat_queue_options options_;
+  std::unordered_map<std::uint64_t, queued_heartbeat> queued_;
 };
 
 } // namespace wisteriaflow::membership::internal
--- a/include/wisteriaflow/membership/internal/news_board.h
+++ b/include/wisteriaflow/membership/internal/news_board.h
@@ -1,7 +1,9 @@
-// Changed records that a daemon still spreads, and how often each has been sent.
+// Queue of changed member records that this daemon still disseminates, with the number of copies
+// that it has sent of each.
 //
-// A record that starts to leave is *urgent*: it is pushed at once and repeated a fixed number of
-// times, whatever else is spreading. Heard copies do not end that: see docs/design/membership.md.
+// A record whose member starts to leave is *urgent*: it is pushed at once and repeated a fixed
+// number of times, regardless of other queued records. Receiving further copies of it does not end
+// the repetition: see docs/design/membership.md.
 
 #ifndef WISTERIAFLOW_MEMBERSHIP_INTERNAL_NEWS_BOARD_H_
 #define WISTERIAFLOW_MEMBERSHIP_INTERNAL_NEWS_BOARD_H_
@@ -15,48 +17,49 @@
 
 namespace wisteriaflow::membership::internal {
 
-struct news_board_options {
-  // Records in one message.
+struct update_queue_options {
+  // Maximum number of records in one message.
   std::size_t max_records = 128;
-  // Pushes of an urgent record.
+  // Number of times that an urgent record is pushed.
   int urgent_pushes = 4;
 };
 
-class news_board {
+class update_queue {
  public:
-  // `view` must outlive the board.
-  news_board(news_board_options options, const membership_view& view);
+  // `view` must outlive the queue.
+  update_queue(update_queue_options options, const membership_view& view);
 
-  // Takes up a changed record; it replaces earlier news of its member.
+  // Queues a changed record; it replaces an earlier update of the same member.
   void add(const member& m);
+  // Removes the update of a member, if there is one.
   void remove(const member_key& key);
 
-  // Records for an exchange, those sent least often first. Each leaves the board once it has been
-  // sent often enough to reach nearly all; repair reaches the rest.
+  // Returns records for an exchange, those sent least often first. A record is removed once it has
+  // been sent often enough to reach nearly all daemons; repair reaches the rest.
   std::vector<member> take();
 
-  // Urgent records for one push to `fanout` peers.
+  // Returns the urgent records for one push to `fanout` peers.
   std::vector<member> take_urgent(int fanout);
 
-  [[nodiscard]] bool has_urgent() const { return urgent_ > 0; }
+  [[nodiscard]] bool has_urgent() const { return urgent_count_ > 0; }
 
  private:
-  struct news {
-    // Sent by this daemon.
-    int copies = 0;
-    int urgent_pushes = 0;
+  struct queued_update {
+    // Number of copies that this daemon has sent.
+    int copies_sent = 0;
+    int urgent_pushes_left = 0;
   };
-  using item = std::pair<const member_key, news>;
+  using item = std::pair<const member_key, queued_update>;
 
-  void set_pushes(news& n, int pushes);
-  [[nodiscard]] std::vector<member> records_of(std::vector<item*>& picked) const;
-  void remove_spread();
+  void set_urgent_pushes(queued_update& n, int pushes);
+  [[nodiscard]] std::vector<member> select_records(std::vector<item*>& picked) const;
+  void remove_disseminated();
 
-  news_board_options options_;
+  update_queue_options options_;
   const membership_view& view_;
-  std::map<member_key, news> news_;
-  // Items with pushes left.
-  std::size_t urgent_ = 0;
+  std::map<member_key, queued_update> updates_;
+  // Number of records with urgent pushes left.
+  std::size_t urgent_count_ = 0;
 };
 
 } // namespace wisteriaflow::membership::internal
--- a/include/wisteriaflow/membership/internal/repair_pacer.h
+++ b/include/wisteriaflow/membership/internal/repair_pacer.h
@@ -1,8 +1,9 @@
-// When a daemon asks a peer whose view differs for repair.
+// Decides when a daemon requests repair from a peer whose view differs from its own.
 //
-// Most differences heal by themselves: a change is still spreading, or each daemon finds at its own
-// next tick that a deadline has passed. So a difference counts only once the own view has been
-// quiet for a while, and once a second exchange with the same peer still shows it.
+// Most differences disappear without repair: a change is still being disseminated, or each daemon
+// detects at its own next tick that a deadline has passed. Repair is therefore requested only if
+// the local view has not changed for a while and a second exchange with the same peer still shows a
+// difference.
 
 #ifndef WISTERIAFLOW_MEMBERSHIP_INTERNAL_REPAIR_PACER_H_
 #define WISTERIAFLOW_MEMBERSHIP_INTERNAL_REPAIR_PACER_H_
@@ -15,36 +16,37 @@
 
 namespace wisteriaflow::membership::internal {
 
-class repair_pacer {
+class repair_scheduler {
  public:
-  repair_pacer(std::chrono::milliseconds delay, mono_time now);
+  repair_scheduler(std::chrono::milliseconds delay, mono_time now);
 
-  // The own view changed.
+  // Call when the local view has changed.
   void note_change(mono_time now);
 
-  // The own view agrees with that of `peer`.
+  // Call when the local view agrees with that of `peer`.
   void note_agreement(const daemon_id& peer);
 
-  // The own view differs from that of `peer`. True if it is to be asked for repair now.
+  // Call when the local view differs from that of `peer`. Returns true if repair should be
+  // requested from it now.
   bool note_difference(const daemon_id& peer, mono_time now);
 
-  // The peer to exchange with again, if that is due; each is returned once.
+  // Returns the peer to exchange with a second time, if that is due. Each peer is returned once.
   std::optional<daemon_id> take_recheck(mono_time now);
 
  private:
   struct recheck {
     daemon_id peer;
     mono_time due;
-    mono_time lapses_at;
+    mono_time expires_at;
     bool taken = false;
   };
 
   std::chrono::milliseconds delay_;
-  // Whether this view has agreed with a peer's, or has asked for repair.
-  bool settled_ = false;
-  // Repair is put off until the first, but not past the second.
-  mono_time quiet_at_;
-  mono_time due_;
+  // Whether the local view has agreed with a peer's view, or repair has been requested.
+  bool has_synced_ = false;
+  // Changes of the view put repair off until `unchanged_until_`, but never past `deferred_until_`.
+  mono_time unchanged_until_;
+  mono_time deferred_until_;
   std::optional<recheck> recheck_;
 };
 
--- a/include/wisteriaflow/membership/member.h
+++ b/include/wisteriaflow/membership/member.h
@@ -1,7 +1,7 @@
-// One daemon or endpoint as a view knows it, and how two records of it are joined.
+// The record of one daemon or endpoint, and how two records of the same member are merged.
 //
-// The join is the least upper bound of three independent parts, so it is commutative, associative
-// and idempotent: records may arrive late, doubled and in any order.
+// `join` is the least upper bound of three independent parts, so it is commutative, associative and
+// idempotent: records may arrive late, more than once and in any order.
 
 #ifndef WISTERIAFLOW_MEMBERSHIP_MEMBER_H_
 #define WISTERIAFLOW_MEMBERSHIP_MEMBER_H_
@@ -19,10 +19,11 @@
 
 enum class member_kind : std::uint8_t { daemon, endpoint };
 
-// Ordered: within one incarnation the later state wins.
+// A member is live, then leaving until its instance is reclaimed, then gone. Within one incarnation
+// the later state wins.
 enum class member_state : std::uint8_t { live, leaving, gone };
 
-// Names one member among all daemons and endpoints.
+// Identifies one member among all daemons and endpoints.
 struct member_key {
   member_kind kind = member_kind::daemon;
   std::string id;
@@ -31,11 +32,12 @@
                           const member_key&) = default; // NOLINT(modernize-use-nullptr)
 };
 
-// What changes seldom. Instances' own words come from the instance list.
+// The part of a record that seldom changes. An endpoint's attributes come from the instance list, a
+// daemon's from the daemon itself.
 struct member_attributes {
-  // Where other daemons reach a daemon; empty for endpoints.
+  // Address for other daemons; empty for endpoints.
   std::string peer_address;
-  // Where callers reach a daemon, or daemons an endpoint.
+  // Address of a daemon for callers, or of an endpoint for daemons.
   std::string address;
   availability_zone zone;
   std::map<std::string, std::string> labels;
@@ -44,7 +46,7 @@
   std::string role;
   bool reclaimable = false;
   double price_per_hour = 0;
-  // Endpoints only: refuses an order with an old fencing number.
+  // Endpoints only: it rejects orders with an old fencing number.
   bool checks_fencing = false;
 
   friend auto operator<=>(const member_attributes&,
@@ -53,41 +55,43 @@
 
 struct member {
   member_key key;
-  // Raised by the member itself to overrule what is said of it. A daemon's is its start time in
-  // milliseconds since the Unix epoch, at least; 0 for one known from the instance list alone.
+  // Raised by the member itself to override what others report of it. A daemon's incarnation is at
+  // least its start time in milliseconds since the Unix epoch; 0 for a member known only from the
+  // instance list.
   std::uint64_t incarnation = 0;
   member_state state = member_state::live;
-  // When a leaving member's instance is reclaimed; for a gone one, when it was found gone.
+  // For a leaving member, when its instance is reclaimed; for a gone one, when it was found to be
+  // gone.
   std::optional<wall_time> reclaim_at;
-  // Raised by a daemon itself within one incarnation.
+  // Counter that the daemon itself raises within one incarnation.
   std::uint64_t heartbeat = 0;
-  // 0: the attributes are not known.
+  // 0 if the attributes are not known.
   std::uint64_t attributes_revision = 0;
   member_attributes attributes;
 
   friend bool operator==(const member&, const member&) = default;
 };
 
-// The record that knows all that `a` and `b` know. Both must have the same key.
+// Returns the record that contains everything known from `a` and `b`, which must have the same key.
 //
-// The higher (incarnation, state) wins, the earlier `reclaim_at` among equals; the higher
-// (incarnation, heartbeat); the higher (attributes_revision, attributes).
+// The higher (incarnation, state) wins, and among equals the earlier `reclaim_at`; the higher
+// (incarnation, heartbeat) wins; the higher (attributes_revision, attributes) wins.
 [[nodiscard]] member join(const member& a, const member& b);
 
-// `m` without its attributes: enough to say that a known member leaves.
+// Returns `m` without its attributes: enough to report that a known member is leaving.
 [[nodiscard]] member without_attributes(const member& m);
 
-// Stable hash of a member's name.
+// Stable hash of a member's kind and id.
 [[nodiscard]] std::uint64_t hash_of(const member_key& key);
 
-// Stable hash of attributes.
+// Stable hash of the attributes.
 [[nodiscard]] std::uint64_t hash_of(const member_attributes& attributes);
 
-// Stable hash of what two views must agree on: everything but the heartbeat.
-[[nodiscard]] std::uint64_t agreement_hash_of(const member& m);
+// Stable hash of everything that two views must agree on: all of the record except the heartbeat.
+[[nodiscard]] std::uint64_t hash_without_heartbeat(const member& m);
 
-// Equal but for the heartbeat.
-[[nodiscard]] bool agrees(const member& a, const member& b);
+// Whether the records are equal except for the heartbeat.
+[[nodiscard]] bool equal_without_heartbeat(const member& a, const member& b);
 
 } // namespace wisteriaflow::membership
 
--- a/include/wisteriaflow/membership/messages.h
+++ b/include/wisteriaflow/membership/messages.h
@@ -1,4 +1,4 @@
-// What daemons gossip to each other, as plain values that mirror `GossipMessage` of peer.proto.
+// The gossip messages between daemons, as plain structs that mirror `GossipMessage` of peer.proto.
 
 #ifndef WISTERIAFLOW_MEMBERSHIP_MESSAGES_H_
 #define WISTERIAFLOW_MEMBERSHIP_MESSAGES_H_
@@ -21,19 +21,19 @@
   friend bool operator==(const heartbeat&, const heartbeat&) = default;
 };
 
-// What one daemon admitted for a workspace, per second of its last window.
+// The work that one daemon admitted for a workspace, per second, in its last window.
 struct workspace_usage {
   workspace_id workspace;
   daemon_id daemon;
   double tokens_per_second = 0;
   double requests_per_second = 0;
-  // Rises with each report of the daemon.
+  // Increases with each report of the daemon.
   std::uint64_t sequence = 0;
 
   friend bool operator==(const workspace_usage&, const workspace_usage&) = default;
 };
 
-// The load of one endpoint as last measured by it.
+// The load of one endpoint, as measured by the endpoint.
 struct endpoint_load {
   endpoint_id endpoint;
   std::uint32_t running = 0;
@@ -45,7 +45,7 @@
   friend bool operator==(const endpoint_load&, const endpoint_load&) = default;
 };
 
-// What a message is for; a receiver of an urgent push answers with next to nothing.
+// The purpose of a message. The reply to an urgent push is almost empty.
 enum class gossip_kind : std::uint8_t { exchange, urgent, usage };
 
 struct gossip_message {
@@ -56,23 +56,23 @@
   std::uint64_t configuration_floor = 0;
   std::vector<member> members;
   std::vector<heartbeat> heartbeats;
-  // Reports, or in a reply the fleet's sums; see usage_ledger.
+  // Usage reports, or in a reply the sums of the whole fleet; see usage_aggregator.
   std::vector<workspace_usage> usage;
   std::vector<endpoint_load> loads;
-  // The sender's view: its version and hash, and its parts' hashes when it asks for repair.
+  // The version and hash of the sender's view, and the hashes of its buckets in a repair request.
   std::uint64_t view_version = 0;
   std::uint64_t view_hash = 0;
   std::vector<std::uint32_t> view_buckets;
   // The version of the receiver's view up to which the sender has every change.
   std::uint64_t seen_version = 0;
-  // With this reply, the receiver has every change of the sender's view up to this version; 0 if
-  // the reply says nothing of it.
+  // After this reply, the receiver has every change of the sender's view up to this version. 0 if
+  // the reply makes no statement about it.
   std::uint64_t covered_version = 0;
 
   friend bool operator==(const gossip_message&, const gossip_message&) = default;
 };
 
-// A message to be sent; every one has a reply.
+// A message to be sent. Every message has a reply.
 struct outgoing_gossip {
   daemon_id to;
   std::string peer_address;
--- a/include/wisteriaflow/peer/peer_side.h
+++ b/include/wisteriaflow/peer/peer_side.h
@@ -1,4 +1,5 @@
-// The duty towards other daemons: a gRPC server and a client, joined with the core by rings.
+// Communication with other daemons: a gRPC server and a gRPC client that exchange events and
+// actions with the core through ring buffers.
 
 #ifndef WISTERIAFLOW_PEER_PEER_SIDE_H_
 #define WISTERIAFLOW_PEER_PEER_SIDE_H_
@@ -12,33 +13,36 @@
 
 namespace wisteriaflow::peer {
 
-// The peers' address cannot be listened on.
+// The server cannot listen on the peer address.
 class peer_error : public error {
  public:
   using error::error;
 };
 
 struct peer_side_options {
-  http::socket_address listen;         // port 0: the kernel chooses
-  std::size_t message_limit = 8 << 20; // bytes of one message
-  std::size_t channel_limit = 32;      // open channels to other daemons
+  http::socket_address listen;         // port 0: chosen by the kernel
+  std::size_t message_limit = 8 << 20; // maximum size of one message in bytes
+  std::size_t channel_limit = 32;      // maximum number of open channels to other daemons
 };
 
-// Serves peers and calls them.
+// Serves calls from other daemons and sends calls to them.
 class peer_side {
  public:
-  // Listens at once. Throws peer_error if it cannot.
+  // Starts to listen at once. Throws peer_error if that fails.
   peer_side(peer_side_options options, std::shared_ptr<daemon::event_ring> core);
   ~peer_side();
   peer_side(const peer_side&) = delete;
   peer_side& operator=(const peer_side&) = delete;
 
+  // Starts the thread that carries out the core's actions.
   void start();
 
-  // Ends the thread and the server; waiting calls fail.
+  // Ends the thread and the server; pending calls fail.
   void stop();
 
+  // The address that the server listens on, with the actual port.
   [[nodiscard]] http::socket_address address() const;
+  // The core pushes its actions into this ring.
   [[nodiscard]] std::shared_ptr<daemon::bounded_ring<core::peer_action>> ring() const;
 
  private:
--- a/src/claims/asker_core.cc
+++ b/src/claims/asker_core.cc
@@ -4,77 +4,77 @@
 
 namespace wisteriaflow::claims::internal {
 
-void asker_core::ask_daemon(const daemon_id& owner)
+void claim_client_core::send_claim_to(const daemon_id& owner)
 {
-  actions_.emplace_back(ask_owner{.owner = owner, .request = options_.request});
+  actions_.emplace_back(send_claim{.owner = owner, .request = options_.request});
 }
 
-void asker_core::ask()
+void claim_client_core::send_claim_to_owner()
 {
-  ask_daemon(daemon_id{});
+  send_claim_to(daemon_id{});
 }
 
-void asker_core::ask_hinted(const claim_reply& reply)
+void claim_client_core::send_claim_to_hinted_owner(const claim_reply& reply)
 {
   ++hints_followed_;
-  ask_daemon(reply.owner);
+  send_claim_to(reply.owner);
 }
 
-void asker_core::wait()
+void claim_client_core::back_off()
 {
   hints_followed_ = 0;
-  std::uniform_int_distribution<std::int64_t> jitter(0, pause_.count());
-  retry_at_ = now_.mono + pause_ / 2 + std::chrono::milliseconds{jitter(random_)};
-  pause_ = std::min(pause_ * 2, options_.settings.max_ask_retry);
+  std::uniform_int_distribution<std::int64_t> jitter(0, retry_delay_.count());
+  retry_at_ = now_.mono + retry_delay_ / 2 + std::chrono::milliseconds{jitter(random_)};
+  retry_delay_ = std::min(retry_delay_ * 2, options_.settings.max_retry_delay);
 }
 
-void asker_core::query(const claim_reply& reply)
+void claim_client_core::query_holder(const claim_reply& reply)
 {
   holder_ = reply.executor;
   holder_nonce_ = reply.nonce;
-  query_again();
+  repeat_query();
 }
 
-void asker_core::query_again()
+void claim_client_core::repeat_query()
 {
   actions_.emplace_back(
       query_executor{.executor = holder_, .key = options_.request.key, .nonce = holder_nonce_});
 }
 
-void asker_core::note_replaced()
+void claim_client_core::set_replaced_nonce()
 {
   options_.request.replaces_nonce = holder_nonce_;
 }
 
-void asker_core::dispatch()
+void claim_client_core::dispatch()
 {
   dispatched_ = true;
   actions_.emplace_back(dispatch_claimed{.nonce = options_.request.nonce});
 }
 
-void asker_core::follow(const executor_answered& answer)
+void claim_client_core::follow(const executor_answered& answer)
 {
   actions_.emplace_back(
-      follow_executor{.executor = holder_, .nonce = holder_nonce_, .standing = answer.standing});
+      follow_executor{.executor = holder_, .nonce = holder_nonce_, .state = answer.state});
 }
 
-void asker_core::refuse_unavailable(const claim_reply& reply)
+void claim_client_core::refuse_unavailable(const claim_reply& reply)
 {
   actions_.emplace_back(
       refuse_claim{.reason = refusal_reason::unavailable, .key_free = reply.key_free});
 }
 
-void asker_core::refuse_late()
+void claim_client_core::refuse_deadline_passed()
 {
   actions_.emplace_back(refuse_claim{.reason = refusal_reason::deadline_passed});
 }
 
-void asker_core::refuse_granted()
+void claim_client_core::refuse_granted_late()
 {
   actions_.emplace_back(refuse_claim{.reason = refusal_reason::deadline_passed, .key_free = true});
 }
 
-void asker_core::refuse_cancelled()
+void claim_client_core::refuse_cancelled()
 {
   actions_.emplace_back(refuse_claim{.reason = refusal_reason::cancelled});
 }
--- a/src/claims/claim_asker.cc
+++ b/src/claims/claim_asker.cc
@@ -17,16 +17,16 @@
 
 using boost::msm::front::Row;
 using internal::act;
-using internal::asker_core;
+using internal::claim_client_core;
 using internal::when;
 
-enum class phase { idle, asking, waiting_to_ask, querying, waiting_to_query, finished };
+enum class phase { idle, claiming, waiting_to_claim, querying, waiting_to_query, finished };
 
-// Events of the machine's own.
+// Internal events of the state machine.
 struct retry_due {};
 struct deadline_due {};
 
-// A state that tells the machine its name.
+// A state that sets the machine's current phase on entry.
 template <phase value> struct named_state : boost::msm::front::state<> {
   template <typename event, typename machine> void on_entry(const event& /*e*/, machine& fsm)
   {
@@ -34,7 +34,7 @@
   }
 };
 
-// The claim was granted in time to be used.
+// The claim was granted before the deadline.
 struct granted_in_time {
   template <typename event, typename machine, typename from, typename to>
   bool operator()(const event& reply, machine& fsm, from& /*source*/, to& /*target*/) const
@@ -43,7 +43,7 @@
   }
 };
 
-// The claim was granted, but nobody waits for the answer any more.
+// The claim was granted after the deadline, when the caller no longer waits for the answer.
 struct granted_late {
   template <typename event, typename machine, typename from, typename to>
   bool operator()(const event& reply, machine& fsm, from& /*source*/, to& /*target*/) const
@@ -52,77 +52,81 @@
   }
 };
 
-struct asker_machine_def : boost::msm::front::state_machine_def<asker_machine_def> {
-  explicit asker_machine_def(asker_options options) : core(std::move(options)) {}
+struct claim_client_machine_def : boost::msm::front::state_machine_def<claim_client_machine_def> {
+  explicit claim_client_machine_def(claim_client_options options) : core(std::move(options)) {}
 
   struct idle : named_state<phase::idle> {};
-  struct asking : named_state<phase::asking> {};
-  struct waiting_to_ask : named_state<phase::waiting_to_ask> {};
+  struct claiming : named_state<phase::claiming> {};
+  struct waiting_to_claim : named_state<phase::waiting_to_claim> {};
   struct querying : named_state<phase::querying> {};
   struct waiting_to_query : named_state<phase::waiting_to_query> {};
   struct done : named_state<phase::finished> {};
   using initial_state = idle;
 
-  using ask = act<&asker_core::ask>;
-  using wait = act<&asker_core::wait>;
-  using refuse_late = act<&asker_core::refuse_late>;
-  using unknown = act<&asker_core::report_not_known>;
-  using cancel = act<&asker_core::refuse_cancelled>;
+  using send = act<&claim_client_core::send_claim_to_owner>;
+  using back_off = act<&claim_client_core::back_off>;
+  using refuse_deadline_passed = act<&claim_client_core::refuse_deadline_passed>;
+  using report_unknown = act<&claim_client_core::report_unknown_outcome>;
+  using cancel = act<&claim_client_core::refuse_cancelled>;
 
   // clang-format off
   struct transition_table : boost::mpl::vector<
-      Row<idle, ask_started, asking, ask>,
-      Row<asking, claim_reply, done, act<&asker_core::dispatch>, granted_in_time>,
-      Row<asking, claim_reply, done, act<&asker_core::refuse_granted>, granted_late>,
-      Row<asking, claim_reply, querying, act<&asker_core::query>, when<&asker_core::is_duplicate>>,
-      Row<asking, claim_reply, done, act<&asker_core::report_mismatch>,
-          when<&asker_core::is_mismatch>>,
-      Row<asking, claim_reply, done, unknown, when<&asker_core::is_too_old>>,
-      Row<asking, claim_reply, done, act<&asker_core::refuse_unavailable>,
-          when<&asker_core::is_refused>>,
-      Row<asking, claim_reply, asking, act<&asker_core::ask_hinted>,
-          when<&asker_core::is_elsewhere>>,
-      Row<asking, claim_reply, waiting_to_ask, wait, when<&asker_core::is_lost_owner>>,
-      Row<asking, ask_lost, waiting_to_ask, wait>,
-      Row<asking, deadline_due, done, refuse_late>,
-      Row<asking, ask_cancelled, done, cancel>,
-      Row<waiting_to_ask, retry_due, asking, ask>,
-      Row<waiting_to_ask, deadline_due, done, refuse_late>,
-      Row<waiting_to_ask, ask_cancelled, done, cancel>,
-
-      Row<querying, executor_answered, done, act<&asker_core::follow>,
-          when<&asker_core::can_be_followed>>,
-      Row<querying, executor_answered, waiting_to_ask, act<&asker_core::note_replaced, &asker_core::wait>,
-          when<&asker_core::was_not_run>>,
-      Row<querying, executor_answered, done, unknown, when<&asker_core::is_unknown>>,
-      Row<querying, query_lost, waiting_to_query, wait>,
-      Row<querying, deadline_due, done, unknown>,
-      Row<querying, ask_cancelled, done, unknown>,
-      Row<waiting_to_query, retry_due, querying, act<&asker_core::query_again>>,
-      Row<waiting_to_query, deadline_due, done, unknown>,
-      Row<waiting_to_query, ask_cancelled, done, unknown>
+      Row<idle, claim_started, claiming, send>,
+      Row<claiming, claim_reply, done, act<&claim_client_core::dispatch>, granted_in_time>,
+      Row<claiming, claim_reply, done, act<&claim_client_core::refuse_granted_late>, granted_late>,
+      Row<claiming, claim_reply, querying, act<&claim_client_core::query_holder>,
+          when<&claim_client_core::is_duplicate>>,
+      Row<claiming, claim_reply, done, act<&claim_client_core::report_mismatch>,
+          when<&claim_client_core::is_body_mismatch>>,
+      Row<claiming, claim_reply, done, report_unknown, when<&claim_client_core::is_too_old>>,
+      Row<claiming, claim_reply, done, act<&claim_client_core::refuse_unavailable>,
+          when<&claim_client_core::is_unavailable>>,
+      Row<claiming, claim_reply, claiming, act<&claim_client_core::send_claim_to_hinted_owner>,
+          when<&claim_client_core::has_owner_hint>>,
+      Row<claiming, claim_reply, waiting_to_claim, back_off,
+          when<&claim_client_core::is_owner_unknown>>,
+      Row<claiming, claim_unanswered, waiting_to_claim, back_off>,
+      Row<claiming, deadline_due, done, refuse_deadline_passed>,
+      Row<claiming, claim_cancelled, done, cancel>,
+      Row<waiting_to_claim, retry_due, claiming, send>,
+      Row<waiting_to_claim, deadline_due, done, refuse_deadline_passed>,
+      Row<waiting_to_claim, claim_cancelled, done, cancel>,
+
+      Row<querying, executor_answered, done, act<&claim_client_core::follow>,
+          when<&claim_client_core::can_be_followed>>,
+      Row<querying, executor_answered, waiting_to_claim,
+          act<&claim_client_core::set_replaced_nonce, &claim_client_core::back_off>,
+          when<&claim_client_core::was_not_run>>,
+      Row<querying, executor_answered, done, report_unknown,
+          when<&claim_client_core::is_outcome_unknown>>,
+      Row<querying, query_unanswered, waiting_to_query, back_off>,
+      Row<querying, deadline_due, done, report_unknown>,
+      Row<querying, claim_cancelled, done, report_unknown>,
+      Row<waiting_to_query, retry_due, querying, act<&claim_client_core::repeat_query>>,
+      Row<waiting_to_query, deadline_due, done, report_unknown>,
+      Row<waiting_to_query, claim_cancelled, done, report_unknown>
       > {};
   // clang-format on
 
-  // Replies that come late or twice change nothing.
+  // Replies that arrive late or twice have no effect.
   template <typename event, typename machine>
   void no_transition(const event& /*e*/, machine& /*fsm*/, int /*state*/)
   {
   }
 
-  asker_core core;
+  claim_client_core core;
   phase current = phase::idle;
 };
 
-using asker_machine = boost::msm::back::state_machine<asker_machine_def>;
+using claim_client_machine = boost::msm::back::state_machine<claim_client_machine_def>;
 
 } // namespace
 
-class claim_asker::impl {
+class claim_client::impl {
  public:
-  explicit impl(asker_options options) : machine_(std::move(options)) { machine_.start(); }
+  explicit impl(claim_client_options options) : machine_(std::move(options)) { machine_.start(); }
 
-  std::vector<asker_action> handle(const asker_event& event, clock_reading now)
+  std::vector<claim_client_action> handle(const claim_client_event& event, clock_reading now)
   {
     machine_.core.set_now(now);
     std::visit([this](const auto& e) { machine_.process_event(e); }, event);
@@ -149,36 +153,39 @@
  private:
   [[nodiscard]] bool is_waiting() const
   {
-    return machine_.current == phase::waiting_to_ask || machine_.current == phase::waiting_to_query;
+    return machine_.current == phase::waiting_to_claim ||
+           machine_.current == phase::waiting_to_query;
   }
 
-  asker_machine machine_;
+  claim_client_machine machine_;
 };
 
-claim_asker::claim_asker(asker_options options) : impl_(std::make_unique<impl>(std::move(options)))
+claim_client::claim_client(claim_client_options options)
+    : impl_(std::make_unique<impl>(std::move(options)))
 {
 }
 
-claim_asker::claim_asker(claim_asker&&) noexcept = default;
-claim_asker& claim_asker::operator=(claim_asker&&) noexcept = default;
-claim_asker::~claim_asker() = default;
+claim_client::claim_client(claim_client&&) noexcept = default;
+claim_client& claim_client::operator=(claim_client&&) noexcept = default;
+claim_client::~claim_client() = default;
 
-std::vector<asker_action> claim_asker::handle(const asker_event& event, clock_reading now)
+std::vector<claim_client_action> claim_client::handle(const claim_client_event& event,
+                                                      clock_reading now)
 {
   return impl_->handle(event, now);
 }
 
-std::optional<mono_time> claim_asker::wake_at() const
+std::optional<mono_time> claim_client::wake_at() const
 {
   return impl_->wake_at();
 }
 
-bool claim_asker::finished() const
+bool claim_client::finished() const
 {
   return impl_->finished();
 }
 
-bool claim_asker::dispatched() const
+bool claim_client::dispatched() const
 {
   return impl_->dispatched();
 }
--- a/src/claims/claim_shard_owner.cc
+++ b/src/claims/claim_shard_owner.cc
@@ -20,12 +20,12 @@
 using internal::owner_core;
 using internal::when;
 
-// The machine's states; `ownership` is what others see of them.
+// The states of the machine; `ownership` is their public form.
 enum class phase {
   not_owner,
   reading_tail,
   reading_segments,
-  announcing,
+  writing_takeover,
   backing_off,
   serving,
   rolling,
@@ -33,23 +33,24 @@
   settling,
 };
 
-// Events of the machine's own, besides the store's results.
+// Internal events of the machine, in addition to the store's results.
 struct takeover_due {};
 struct segments_loaded {};
 struct retry_due {};
 struct flush_due {};
 struct released {};
 
-// The batch's update has landed, by its own answer or as read back.
-struct land_batch {
+// The update of the batch has taken effect, according to its answer or to the tail that was read
+// back.
+struct commit_batch {
   template <typename event, typename machine, typename from, typename to>
   void operator()(const event& e, machine& fsm, from& /*source*/, to& /*target*/) const
   {
-    fsm.core.batch_landed(e);
+    fsm.core.commit_batch(e);
   }
 };
 
-// A state that tells the machine its name.
+// A state that sets the machine's current phase on entry.
 template <phase value> struct named_state : boost::msm::front::state<> {
   template <typename event, typename machine> void on_entry(const event& /*e*/, machine& fsm)
   {
@@ -63,7 +64,7 @@
   struct not_owner : named_state<phase::not_owner> {};
   struct reading_tail : named_state<phase::reading_tail> {};
   struct reading_segments : named_state<phase::reading_segments> {};
-  struct announcing : named_state<phase::announcing> {};
+  struct writing_takeover : named_state<phase::writing_takeover> {};
   struct backing_off : named_state<phase::backing_off> {};
   struct serving : named_state<phase::serving> {};
   struct rolling : named_state<phase::rolling> {};
@@ -72,64 +73,64 @@
   using initial_state = not_owner;
 
   using read = act<&owner_core::read_tail_object>;
-  using pause = act<&owner_core::back_off>;
-  using land = land_batch;
-  using write_rolled = act<&owner_core::roll_created, &owner_core::write_batch>;
+  using back_off = act<&owner_core::back_off>;
+  using commit = commit_batch;
+  using write_rolled = act<&owner_core::segment_created, &owner_core::write_batch>;
   using settle_later = act<&owner_core::settle_later>;
-  using rolls = when<&owner_core::needs_roll>;
-  using needs_no_roll = when<&owner_core::needs_roll, false>;
-  using conflicts_repeat = when<&owner_core::has_conflicted>;
-  using ours = when<&owner_core::is_ours>;
-  using not_landed_yet = when<&owner_core::has_not_landed_yet>;
-  using anothers = when<&owner_core::is_anothers>;
+  using roll_needed = when<&owner_core::needs_roll>;
+  using no_roll_needed = when<&owner_core::needs_roll, false>;
+  using conflicted_before = when<&owner_core::has_conflicted>;
+  using own_update = when<&owner_core::is_own_update>;
+  using not_yet_applied = when<&owner_core::is_not_yet_applied>;
+  using foreign_update = when<&owner_core::is_foreign_update>;
 
   // clang-format off
   struct transition_table : boost::mpl::vector<
       Row<not_owner, takeover_due, reading_tail, read>,
       Row<reading_tail, tail_value, reading_segments,
-          act<&owner_core::keep_tail, &owner_core::read_next_segment>>,
-      Row<reading_tail, unavailable, backing_off, pause>,
+          act<&owner_core::load_tail, &owner_core::read_next_segment>>,
+      Row<reading_tail, unavailable, backing_off, back_off>,
       Row<reading_segments, segment_value, reading_segments,
-          act<&owner_core::load, &owner_core::read_next_segment>>,
+          act<&owner_core::load_segment, &owner_core::read_next_segment>>,
       Row<reading_segments, missing, reading_tail,
           act<&owner_core::note_missing_segment, &owner_core::read_tail_object>>,
-      Row<reading_segments, unavailable, backing_off, pause>,
-      Row<reading_segments, segments_loaded, announcing, act<&owner_core::announce>>,
-      Row<announcing, written, serving, act<&owner_core::become_owner>>,
-      Row<announcing, conflict, reading_tail,
-          act<&owner_core::note_conflict, &owner_core::read_tail_object>>,
-      Row<announcing, conflict, backing_off,
-          act<&owner_core::note_conflict, &owner_core::back_off>, conflicts_repeat>,
-      Row<announcing, lost, backing_off, pause>,
-      Row<announcing, unavailable, backing_off, pause>,
+      Row<reading_segments, unavailable, backing_off, back_off>,
+      Row<reading_segments, segments_loaded, writing_takeover, act<&owner_core::write_takeover>>,
+      Row<writing_takeover, written, serving, act<&owner_core::become_owner>>,
+      Row<writing_takeover, conflict, reading_tail,
+          act<&owner_core::count_conflict, &owner_core::read_tail_object>>,
+      Row<writing_takeover, conflict, backing_off,
+          act<&owner_core::count_conflict, &owner_core::back_off>, conflicted_before>,
+      Row<writing_takeover, unanswered, backing_off, back_off>,
+      Row<writing_takeover, unavailable, backing_off, back_off>,
       Row<backing_off, retry_due, reading_tail, read>,
       Row<backing_off, released, not_owner, act<&owner_core::abandon_takeover>>,
 
-      Row<serving, flush_due, rolling, act<&owner_core::start_roll>, rolls>,
-      Row<serving, flush_due, writing, act<&owner_core::write_batch>, needs_no_roll>,
+      Row<serving, flush_due, rolling, act<&owner_core::start_roll>, roll_needed>,
+      Row<serving, flush_due, writing, act<&owner_core::write_batch>, no_roll_needed>,
       Row<serving, released, not_owner>,
       Row<rolling, written, writing, write_rolled>,
-      // The name is ours alone, so an earlier call whose answer was lost has created it.
+      // Only this owner uses the name, so an earlier, unanswered call has created the segment.
       Row<rolling, conflict, writing, write_rolled>,
-      Row<rolling, lost, serving, act<&owner_core::roll_failed>>,
+      Row<rolling, unanswered, serving, act<&owner_core::roll_failed>>,
       Row<rolling, unavailable, serving, act<&owner_core::roll_failed>>,
-      Row<writing, written, serving, land>,
-      Row<writing, unavailable, serving, act<&owner_core::batch_refused>>,
+      Row<writing, written, serving, commit>,
+      Row<writing, unavailable, serving, act<&owner_core::batch_failed>>,
       Row<writing, conflict, settling, read>,
-      Row<writing, lost, settling, read>,
+      Row<writing, unanswered, settling, read>,
 
-      Row<settling, tail_value, serving, land, ours>,
-      Row<settling, tail_value, settling, act<&owner_core::send_again>, not_landed_yet>,
-      Row<settling, tail_value, not_owner, act<&owner_core::lose>, anothers>,
-      Row<settling, written, serving, land>,
+      Row<settling, tail_value, serving, commit, own_update>,
+      Row<settling, tail_value, settling, act<&owner_core::resend_update>, not_yet_applied>,
+      Row<settling, tail_value, not_owner, act<&owner_core::lose_ownership>, foreign_update>,
+      Row<settling, written, serving, commit>,
       Row<settling, conflict, settling, read>,
-      Row<settling, lost, settling, settle_later>,
+      Row<settling, unanswered, settling, settle_later>,
       Row<settling, unavailable, settling, settle_later>,
       Row<settling, retry_due, settling, read>
       > {};
   // clang-format on
 
-  // An answer that the state does not wait for changes nothing.
+  // An answer that the state does not wait for has no effect.
   template <typename event, typename machine>
   void no_transition(const event& /*e*/, machine& /*fsm*/, int /*state*/)
   {
@@ -172,7 +173,7 @@
     }
   }
 
-  [[nodiscard]] ownership standing() const
+  [[nodiscard]] ownership state() const
   {
     switch (machine_.current) {
     case phase::not_owner:
@@ -195,23 +196,23 @@
 
   void take(const store_answer& answer)
   {
-    if (machine_.core.expects(answer)) {
+    if (machine_.core.is_for_open_call(answer)) {
       std::visit([this](const auto& result) { machine_.process_event(result); }, answer.result);
     }
   }
 
-  void take(const claim_asked& asked)
+  void take(const claim_received& received)
   {
     if (!machine_.core.desired() || machine_.current == phase::not_owner) {
-      machine_.core.turn_away(asked);
-    } else if (standing() == ownership::taking_over) {
-      machine_.core.hold(asked);
+      machine_.core.reject_as_not_owner(received);
+    } else if (state() == ownership::taking_over) {
+      machine_.core.defer(received);
     } else {
-      machine_.core.admit(asked);
+      machine_.core.admit(received);
     }
   }
 
-  // Takes the next step that needs no event from outside; false if there is none.
+  // Takes the next step that needs no external event. Returns false if there is none.
   bool step()
   {
     const auto& core = machine_.core;
@@ -265,9 +266,9 @@
   return impl_->wake_at();
 }
 
-ownership claim_shard_owner::standing() const
+ownership claim_shard_owner::state() const
 {
-  return impl_->standing();
+  return impl_->state();
 }
 
 } // namespace wisteriaflow::claims
--- a/src/claims/msm_functors.h
+++ b/src/claims/msm_functors.h
@@ -1,4 +1,4 @@
-// Adapters between Boost.MSM's functor rows and members of a machine's `core`.
+// Adapters from functor rows of Boost.MSM to members of a state machine's `core`.
 
 #ifndef WISTERIAFLOW_CLAIMS_MSM_FUNCTORS_H_
 #define WISTERIAFLOW_CLAIMS_MSM_FUNCTORS_H_
@@ -16,7 +16,7 @@
   }
 }
 
-// An action: members of the core, called in order.
+// An action that calls members of the core in order.
 template <auto... members> struct act {
   template <typename event, typename machine, typename from, typename to>
   void operator()(const event& e, machine& fsm, from& /*source*/, to& /*target*/) const
@@ -25,7 +25,7 @@
   }
 };
 
-// A guard: a member of the core gives `expected`.
+// A guard that is true if a member of the core returns `expected`.
 template <auto member, bool expected = true> struct when {
   template <typename event, typename machine, typename from, typename to>
   bool operator()(const event& e, machine& fsm, from& /*source*/, to& /*target*/) const
--- a/src/claims/owner_core.cc
+++ b/src/claims/owner_core.cc
@@ -6,7 +6,7 @@
 namespace wisteriaflow::claims::internal {
 namespace {
 
-// Whether `tail` holds `entry` itself, not only its key.
+// Whether `tail` contains this very claim, not only its key.
 bool holds(const shard_tail& tail, const claim_entry& entry)
 {
   return std::any_of(tail.entries.begin(), tail.entries.end(), [&](const claim_entry& other) {
@@ -31,14 +31,14 @@
   return std::exchange(actions_, {});
 }
 
-bool owner_core::expects(const store_answer& answer)
+bool owner_core::is_for_open_call(const store_answer& answer)
 {
   const auto it = open_deletes_.find(answer.id);
   if (it != open_deletes_.end()) {
     if (std::holds_alternative<written>(answer.result)) {
-      contents_.deleted(it->second);
+      contents_.mark_deleted(it->second);
     } else {
-      contents_.delete_failed(it->second);
+      contents_.mark_delete_failed(it->second);
     }
     open_deletes_.erase(it);
     return false;
@@ -84,13 +84,13 @@
 claim_reply owner_core::not_owner_reply() const
 {
   claim_reply answer{.result = claim_result::not_owner};
-  if (owner_hint_ != options_.self) {
-    answer.owner = owner_hint_;
+  if (known_owner_ != options_.self) {
+    answer.owner = known_owner_;
   }
   return answer;
 }
 
-mono_time owner_core::after(std::chrono::milliseconds pause)
+mono_time owner_core::jittered_time_after(std::chrono::milliseconds pause)
 {
   std::uniform_int_distribution<std::int64_t> jitter(0, pause.count() / 2);
   return now_.mono + pause + std::chrono::milliseconds{jitter(random_)};
@@ -103,13 +103,13 @@
 
 // Claims.
 
-void owner_core::hold(const claim_asked& asked)
+void owner_core::defer(const claim_received& received)
 {
-  if (store_is_down() || held_.size() >= options_.settings.max_pending) {
-    reply(asked.token, {.result = claim_result::unavailable});
+  if (store_is_down() || deferred_.size() >= options_.settings.max_pending) {
+    reply(received.token, {.result = claim_result::unavailable});
     return;
   }
-  held_.push_back(asked);
+  deferred_.push_back(received);
 }
 
 bool owner_core::may_be_forgotten(wall_time created) const
@@ -118,71 +118,72 @@
          created < now_.wall - options_.settings.retention;
 }
 
-bool owner_core::join(const claim_asked& asked)
+bool owner_core::join_pending(const claim_received& received)
 {
-  auto* other = pending_.find(asked.request.key);
-  if (other == nullptr) {
+  auto* pending = pending_.find(received.request.key);
+  if (pending == nullptr) {
     return false;
   }
-  if (other->entry.nonce == asked.request.nonce) {
-    other->tokens.push_back(asked.token);
-  } else if (other->entry.nonce == asked.request.replaces_nonce && store_is_down()) {
-    // What it replaces cannot be settled now, so it cannot be written either.
-    reply(asked.token, {.result = claim_result::unavailable, .key_free = true});
-  } else if (other->entry.body_hash != asked.request.body_hash) {
-    reply(asked.token, {.result = claim_result::body_mismatch});
+  if (pending->entry.nonce == received.request.nonce) {
+    pending->tokens.push_back(received.token);
+  } else if (pending->entry.nonce == received.request.replaces_nonce && store_is_down()) {
+    // Whether the claim to be replaced was stored cannot be found out now, so this one cannot be
+    // written either.
+    reply(received.token, {.result = claim_result::unavailable, .key_free = true});
+  } else if (pending->entry.body_hash != received.request.body_hash) {
+    reply(received.token, {.result = claim_result::body_mismatch});
   } else {
-    reply(asked.token, duplicate_of(other->entry));
+    reply(received.token, duplicate_of(pending->entry));
   }
   return true;
 }
 
-bool owner_core::answer_from_memory(const claim_asked& asked)
+bool owner_core::answer_from_contents(const claim_received& received)
 {
-  const auto* entry = contents_.find(asked.request.key);
+  const auto* entry = contents_.find(received.request.key);
   if (entry == nullptr) {
     return false;
   }
-  if (entry->nonce == asked.request.nonce) {
-    reply(asked.token, {.result = claim_result::granted});
+  if (entry->nonce == received.request.nonce) {
+    reply(received.token, {.result = claim_result::granted});
     return true;
   }
-  if (entry->body_hash != asked.request.body_hash) {
-    reply(asked.token, {.result = claim_result::body_mismatch});
+  if (entry->body_hash != received.request.body_hash) {
+    reply(received.token, {.result = claim_result::body_mismatch});
     return true;
   }
-  if (entry->nonce == asked.request.replaces_nonce) {
+  if (entry->nonce == received.request.replaces_nonce) {
     return false;
   }
-  reply(asked.token, duplicate_of(*entry));
+  reply(received.token, duplicate_of(*entry));
   return true;
 }
 
-void owner_core::admit(const claim_asked& asked)
+void owner_core::admit(const claim_received& received)
 {
-  if (join(asked) || answer_from_memory(asked)) {
+  if (join_pending(received) || answer_from_contents(received)) {
     return;
   }
-  const auto& request = asked.request;
+  const auto& request = received.request;
   if (may_be_forgotten(request.created)) {
-    reply(asked.token, {.result = claim_result::too_old});
+    reply(received.token, {.result = claim_result::too_old});
     return;
   }
   if (store_is_down() || pending_.size() >= options_.settings.max_pending) {
-    reply(asked.token, {.result = claim_result::unavailable, .key_free = true});
+    reply(received.token, {.result = claim_result::unavailable, .key_free = true});
     return;
   }
-  pending_.gather({.entry = {.key = request.key,
-                             .body_hash = request.body_hash,
-                             .created = request.created,
-                             .executor = request.executor,
-                             .nonce = request.nonce},
-                   .tokens = {asked.token}});
+  pending_.enqueue({.entry = {.key = request.key,
+                              .body_hash = request.body_hash,
+                              .created = request.created,
+                              .executor = request.executor,
+                              .nonce = request.nonce},
+                    .tokens = {received.token}});
 }
 
-void owner_core::turn_away(const claim_asked& asked)
+void owner_core::reject_as_not_owner(const claim_received& received)
 {
-  reply(asked.token, not_owner_reply());
+  reply(received.token, not_owner_reply());
 }
 
 // Taking over.
@@ -193,15 +194,15 @@
   call(read_tail{});
 }
 
-void owner_core::keep_tail(const tail_value& value)
+void owner_core::load_tail(const tail_value& value)
 {
   contents_.reset(value.version, value.tail.value_or(shard_tail{}));
-  owner_hint_ = contents_.tail().owner;
+  known_owner_ = contents_.tail().owner;
   if (missing_at_version_ != value.version) {
     missing_segments_.clear();
   }
   for (const auto& id : missing_segments_) {
-    contents_.give_up(id);
+    contents_.mark_segment_lost(id);
   }
 }
 
@@ -212,9 +213,9 @@
   }
 }
 
-void owner_core::load(const segment_value& value)
+void owner_core::load_segment(const segment_value& value)
 {
-  contents_.load(value.segment);
+  contents_.load_segment(value.segment);
 }
 
 void owner_core::note_missing_segment()
@@ -225,14 +226,14 @@
   missing_at_version_ = contents_.version();
 }
 
-void owner_core::announce()
+void owner_core::write_takeover()
 {
   update_ = update_tail{.expected_version = contents_.version(),
-                        .tail = contents_.takeover(options_.self, random_())};
+                        .tail = contents_.takeover_tail(options_.self, random_())};
   call(*update_);
 }
 
-void owner_core::note_conflict()
+void owner_core::count_conflict()
 {
   ++takeover_conflicts_;
 }
@@ -240,30 +241,30 @@
 void owner_core::become_owner(const written& answer)
 {
   takeover_conflicts_ = 0;
-  contents_.landed(answer.version, std::move(update_->tail));
+  contents_.commit(answer.version, std::move(update_->tail));
   update_.reset();
   missing_segments_.clear();
   refuse_until_ = {};
-  owner_hint_ = options_.self;
+  known_owner_ = options_.self;
   next_flush_at_ = now_.mono;
   delete_retired();
-  for (const auto& asked : std::exchange(held_, {})) {
-    admit(asked);
+  for (const auto& received : std::exchange(deferred_, {})) {
+    admit(received);
   }
 }
 
-// Another daemon that takes over at the same time explains one conflict. A store that answers every
-// takeover so, as one without the kind of object does, would be called without a pause: 590 calls a
-// second of each daemon were seen.
+// One conflict is explained by another daemon that takes over at the same time. A store that
+// answers every takeover with a conflict, as one without the kind of object does, would be called
+// without a pause: each daemon was seen to send 590 calls a second.
 void owner_core::back_off()
 {
-  constexpr unsigned most_doublings = 4;
-  const auto doublings = std::min(std::max(takeover_conflicts_, 2U) - 2, most_doublings);
-  const auto pause = options_.settings.store_retry * (1U << doublings);
+  constexpr unsigned max_doublings = 4;
+  const auto doublings = std::min(std::max(takeover_conflicts_, 2U) - 2, max_doublings);
+  const auto pause = options_.settings.store_backoff * (1U << doublings);
   refuse_until_ = now_.mono + pause;
-  retry_at_ = after(pause);
-  for (const auto& asked : std::exchange(held_, {})) {
-    reply(asked.token, {.result = claim_result::unavailable});
+  retry_at_ = jittered_time_after(pause);
+  for (const auto& received : std::exchange(deferred_, {})) {
+    reply(received.token, {.result = claim_result::unavailable});
   }
 }
 
@@ -272,8 +273,8 @@
   takeover_conflicts_ = 0;
   retry_at_.reset();
   update_.reset();
-  for (const auto& asked : std::exchange(held_, {})) {
-    turn_away(asked);
+  for (const auto& received : std::exchange(deferred_, {})) {
+    reject_as_not_owner(received);
   }
 }
 
@@ -281,7 +282,7 @@
 
 std::optional<mono_time> owner_core::flush_at() const
 {
-  if (!pending_.has_gathered()) {
+  if (!pending_.has_queued()) {
     return std::nullopt;
   }
   return pending_.size() >= options_.settings.max_pending ? now_.mono : next_flush_at_;
@@ -299,29 +300,30 @@
   call(create_segment{contents_.segment_to_create()});
 }
 
-void owner_core::roll_created()
+void owner_core::segment_created()
 {
   contents_.segment_created();
 }
 
 void owner_core::roll_failed()
 {
-  refuse_until_ = now_.mono + options_.settings.store_retry;
-  refuse(pending_.take_gathered());
+  refuse_until_ = now_.mono + options_.settings.store_backoff;
+  refuse(pending_.take_queued());
 }
 
 void owner_core::write_batch()
 {
   next_flush_at_ = now_.mono + options_.settings.flush_interval;
   pending_.start_batch();
-  update_ = update_tail{.expected_version = contents_.version(),
-                        .tail = contents_.with(pending_.batch_entries(), random_(), now_.wall)};
+  update_ =
+      update_tail{.expected_version = contents_.version(),
+                  .tail = contents_.next_tail(pending_.batch_entries(), random_(), now_.wall)};
   call(*update_);
 }
 
-void owner_core::land(std::uint64_t version)
+void owner_core::commit_update(std::uint64_t version)
 {
-  contents_.landed(version, std::move(update_->tail));
+  contents_.commit(version, std::move(update_->tail));
   update_.reset();
   retry_at_.reset();
   refuse_until_ = {};
@@ -329,12 +331,12 @@
   delete_retired();
 }
 
-void owner_core::batch_refused()
+void owner_core::batch_failed()
 {
   update_.reset();
-  refuse_until_ = now_.mono + options_.settings.store_retry;
+  refuse_until_ = now_.mono + options_.settings.store_backoff;
   refuse(pending_.take_batch());
-  refuse(pending_.take_gathered());
+  refuse(pending_.take_queued());
 }
 
 void owner_core::delete_retired()
@@ -346,54 +348,55 @@
   }
 }
 
-// Settling.
+// Resolving an unanswered update.
 
-bool owner_core::is_ours(const tail_value& value) const
+bool owner_core::is_own_update(const tail_value& value) const
 {
   return value.tail && value.tail->write_nonce == update_->tail.write_nonce;
 }
 
-bool owner_core::has_not_landed_yet(const tail_value& value) const
+bool owner_core::is_not_yet_applied(const tail_value& value) const
 {
   return value.version == update_->expected_version;
 }
 
-bool owner_core::is_anothers(const tail_value& value) const
+bool owner_core::is_foreign_update(const tail_value& value) const
 {
-  return !is_ours(value) && !has_not_landed_yet(value);
+  return !is_own_update(value) && !is_not_yet_applied(value);
 }
 
 void owner_core::settle_later()
 {
-  refuse_until_ = now_.mono + options_.settings.store_retry;
-  retry_at_ = after(options_.settings.store_retry);
-  // The batch may still land, so its entries stay. Those who asked need not wait for that: an asker
-  // that is refused never runs under its nonce, whether or not the entry lands.
+  refuse_until_ = now_.mono + options_.settings.store_backoff;
+  retry_at_ = jittered_time_after(options_.settings.store_backoff);
+  // The batch may still be stored, so its entries stay. The claimants need not wait for that: a
+  // claimant that was refused never runs the request under its nonce, whether or not the entry is
+  // stored.
   for (const auto token : pending_.take_batch_tokens()) {
     reply(token, {.result = claim_result::unavailable, .key_free = true});
   }
-  refuse(pending_.take_gathered());
+  refuse(pending_.take_queued());
 }
 
-void owner_core::send_again()
+void owner_core::resend_update()
 {
   retry_at_.reset();
   call(*update_);
 }
 
-void owner_core::lose(const tail_value& value)
+void owner_core::lose_ownership(const tail_value& value)
 {
   update_.reset();
   retry_at_.reset();
-  takeover_at_ = after(options_.settings.takeover_pause);
+  takeover_at_ = jittered_time_after(options_.settings.takeover_delay);
   const auto tail = value.tail.value_or(shard_tail{});
-  owner_hint_ = tail.owner;
+  known_owner_ = tail.owner;
   for (const auto& claim : pending_.take_batch()) {
-    // Also when the entry is found in no tail it may be in a segment by now: the new owner knows.
+    // If the tail does not contain the entry, a segment may contain it by now. The new owner knows.
     reply_all({claim}, holds(tail, claim.entry) ? claim_reply{.result = claim_result::granted}
                                                 : not_owner_reply());
   }
-  reply_all(pending_.take_gathered(), not_owner_reply());
+  reply_all(pending_.take_queued(), not_owner_reply());
 }
 
 // Time.
--- a/src/claims/owner_core.h
+++ b/src/claims/owner_core.h
@@ -1,5 +1,5 @@
-// What a shard's owner does in each step of its life; the state machine in claim_shard_owner.cc
-// says which step comes when.
+// The actions and guards of claim_shard_owner; the state machine in claim_shard_owner.cc defines in
+// which states they run.
 
 #ifndef WISTERIAFLOW_CLAIMS_OWNER_CORE_H_
 #define WISTERIAFLOW_CLAIMS_OWNER_CORE_H_
@@ -20,30 +20,30 @@
  public:
   explicit owner_core(owner_options options);
 
-  // Inputs that are the same in every state.
+  // Inputs that are handled in the same way in every state.
   void set_now(clock_reading now) { now_ = now; }
   void set_desired(bool desired) { desired_ = desired; }
   [[nodiscard]] bool desired() const { return desired_; }
   [[nodiscard]] std::vector<owner_action> take_actions();
-  // Whether `answer` belongs to the open call; answers to deletes are dealt with here.
-  [[nodiscard]] bool expects(const store_answer& answer);
+  // Whether `answer` belongs to the open call. Answers to deletes are handled here.
+  [[nodiscard]] bool is_for_open_call(const store_answer& answer);
 
   // Claims.
-  void hold(const claim_asked& asked); // until the takeover is done
-  void admit(const claim_asked& asked);
-  void turn_away(const claim_asked& asked);
+  void defer(const claim_received& received); // until the takeover is complete
+  void admit(const claim_received& received);
+  void reject_as_not_owner(const claim_received& received);
 
   // Taking over.
   void read_tail_object();
-  void keep_tail(const tail_value& value);
+  void load_tail(const tail_value& value);
   [[nodiscard]] bool all_loaded() const { return !contents_.next_to_load().has_value(); }
   void read_next_segment();
-  void load(const segment_value& value);
+  void load_segment(const segment_value& value);
   void note_missing_segment();
-  void announce();
+  void write_takeover();
   // Whether a takeover has met a conflict since this daemon last owned the shard.
   [[nodiscard]] bool has_conflicted() const { return takeover_conflicts_ > 0; }
-  void note_conflict();
+  void count_conflict();
   void become_owner(const written& answer);
   void back_off();
   void abandon_takeover();
@@ -53,20 +53,20 @@
   [[nodiscard]] bool needs_roll() const { return contents_.needs_roll(); }
   [[nodiscard]] bool is_idle() const { return pending_.size() == 0; }
   void start_roll();
-  void roll_created();
+  void segment_created();
   void roll_failed();
   void write_batch();
-  void batch_landed(const written& answer) { land(answer.version); }
-  void batch_landed(const tail_value& value) { land(value.version); }
-  void batch_refused();
+  void commit_batch(const written& answer) { commit_update(answer.version); }
+  void commit_batch(const tail_value& value) { commit_update(value.version); }
+  void batch_failed();
 
-  // Settling.
-  [[nodiscard]] bool is_ours(const tail_value& value) const;
-  [[nodiscard]] bool has_not_landed_yet(const tail_value& value) const;
-  [[nodiscard]] bool is_anothers(const tail_value& value) const;
-  void send_again();
-  void settle_later();
-  void lose(const tail_value& value);
+  // Resolving an unanswered update.
+  [[nodiscard]] bool is_own_update(const tail_value& value) const;
+  [[nodiscard]] bool is_not_yet_applied(const tail_value& value) const;
+  [[nodiscard]] bool is_foreign_update(const tail_value& value) const;
+  void resend_update();
+  void settle_later(); // refuses the batch's claims and retries after a delay
+  void lose_ownership(const tail_value& value);
 
   // Time.
   [[nodiscard]] bool retry_is_due() const;
@@ -81,14 +81,14 @@
   void reply_all(const std::vector<pending_claim>& claims, const claim_reply& answer);
   void grant(const std::vector<pending_claim>& claims);
   void refuse(const std::vector<pending_claim>& claims);
-  void land(std::uint64_t version);
+  void commit_update(std::uint64_t version);
   void delete_retired();
   [[nodiscard]] bool store_is_down() const;
   [[nodiscard]] bool may_be_forgotten(wall_time created) const;
   [[nodiscard]] claim_reply not_owner_reply() const;
-  [[nodiscard]] mono_time after(std::chrono::milliseconds pause);
-  [[nodiscard]] bool join(const claim_asked& asked);
-  [[nodiscard]] bool answer_from_memory(const claim_asked& asked);
+  [[nodiscard]] mono_time jittered_time_after(std::chrono::milliseconds pause);
+  [[nodiscard]] bool join_pending(const claim_received& received);
+  [[nodiscard]] bool answer_from_contents(const claim_received& received);
 
   owner_options options_;
   std::mt19937_64 random_;
@@ -96,16 +96,16 @@
   bool desired_ = false;
   shard_contents contents_;
   pending_claims pending_;
-  std::vector<claim_asked> held_; // asked during the takeover
+  std::vector<claim_received> deferred_; // received during the takeover
   std::vector<owner_action> actions_;
   std::uint64_t next_call_ = 1;
   std::uint64_t open_call_ = 0;
   std::map<std::uint64_t, segment_id> open_deletes_;
-  std::optional<update_tail> update_;     // under way, or unsettled
-  std::set<segment_id> missing_segments_; // listed at missing_at_version_, but not there
+  std::optional<update_tail> update_;     // sent, or without a known result
+  std::set<segment_id> missing_segments_; // listed at missing_at_version_, but not in the store
   std::uint64_t missing_at_version_ = 0;
-  daemon_id owner_hint_;
-  unsigned takeover_conflicts_ = 0; // in a row
+  daemon_id known_owner_;
+  unsigned takeover_conflicts_ = 0; // in succession
   std::optional<mono_time> retry_at_;
   mono_time takeover_at_;
   mono_time refuse_until_;
--- a/src/claims/pending_claims.h
+++ b/src/claims/pending_claims.h
@@ -1,5 +1,5 @@
-// Claims that wait for their entry to become durable: those gathered for the next update, and the
-// batch of the update that is under way.
+// Claims that wait until their entry is stored: those queued for the next update, and the batch of
+// the update that has been sent.
 
 #ifndef WISTERIAFLOW_CLAIMS_PENDING_CLAIMS_H_
 #define WISTERIAFLOW_CLAIMS_PENDING_CLAIMS_H_
@@ -14,7 +14,7 @@
 
 namespace wisteriaflow::claims::internal {
 
-// A claim on its way, and everyone who has asked for it.
+// A pending claim and the tokens of all who wait for its reply.
 struct pending_claim {
   claim_entry entry;
   std::vector<std::uint64_t> tokens;
@@ -22,17 +22,17 @@
 
 class pending_claims {
  public:
-  [[nodiscard]] std::size_t size() const { return gathered_.size() + batch_.size(); }
-  [[nodiscard]] bool has_gathered() const { return !gathered_.empty(); }
+  [[nodiscard]] std::size_t size() const { return queued_.size() + batch_.size(); }
+  [[nodiscard]] bool has_queued() const { return !queued_.empty(); }
   [[nodiscard]] const std::vector<pending_claim>& batch() const { return batch_; }
 
-  void gather(pending_claim claim) { gathered_.push_back(std::move(claim)); }
+  void enqueue(pending_claim claim) { queued_.push_back(std::move(claim)); }
 
-  // Makes what was gathered the batch; the former batch must have been taken.
-  void start_batch() { batch_ = std::exchange(gathered_, {}); }
+  // Makes the queued claims the batch; the previous batch must have been taken.
+  void start_batch() { batch_ = std::exchange(queued_, {}); }
 
   [[nodiscard]] std::vector<pending_claim> take_batch() { return std::exchange(batch_, {}); }
-  // Who waits for the batch; its entries stay.
+  // Removes and returns the tokens that wait for the batch; its entries stay.
   [[nodiscard]] std::vector<std::uint64_t> take_batch_tokens()
   {
     std::vector<std::uint64_t> out;
@@ -43,13 +43,13 @@
     return out;
   }
 
-  [[nodiscard]] std::vector<pending_claim> take_gathered() { return std::exchange(gathered_, {}); }
+  [[nodiscard]] std::vector<pending_claim> take_queued() { return std::exchange(queued_, {}); }
 
-  // The claim of `key` that is on its way, or null.
+  // Returns the pending claim of `key`, or null.
   [[nodiscard]] pending_claim* find(const hash128& key)
   {
     const auto same_key = [&](const pending_claim& claim) { return claim.entry.key == key; };
-    for (auto* claims : {&gathered_, &batch_}) {
+    for (auto* claims : {&queued_, &batch_}) {
       const auto it = std::find_if(claims->begin(), claims->end(), same_key);
       if (it != claims->end()) {
         return &*it;
@@ -69,7 +69,7 @@
   }
 
  private:
-  std::vector<pending_claim> gathered_;
+  std::vector<pending_claim> queued_;
   std::vector<pending_claim> batch_;
 };
 
--- a/src/claims/shard_contents.cc
+++ b/src/claims/shard_contents.cc
@@ -8,7 +8,7 @@
 namespace wisteriaflow::claims::internal {
 namespace {
 
-// Deletes asked for after one update, so that a backlog does not crowd out claims.
+// Maximum number of deletes started after one update, so that a backlog does not delay claims.
 constexpr std::size_t max_deletes_at_once = 8;
 
 bool key_less(const claim_entry& entry, const hash128& key)
@@ -22,8 +22,8 @@
   return it != entries.end() && it->key == key ? &*it : nullptr;
 }
 
-// Adds `entry` in the place of an older one with its key, if there is one.
-void put(std::vector<claim_entry>& entries, const claim_entry& entry)
+// Adds `entry`, or replaces the entry with the same key.
+void upsert(std::vector<claim_entry>& entries, const claim_entry& entry)
 {
   const auto same_key = [&](const claim_entry& other) { return other.key == entry.key; };
   const auto it = std::find_if(entries.begin(), entries.end(), same_key);
@@ -50,9 +50,9 @@
   version_ = version;
   tail_ = std::move(tail);
   drop_unlisted();
-  given_up_.clear();
-  roll_.reset();
-  created_ = false;
+  lost_segments_.clear();
+  roll_segment_.reset();
+  roll_created_ = false;
   deleting_.clear();
   deleted_.clear();
 }
@@ -60,21 +60,21 @@
 std::optional<segment_id> shard_contents::next_to_load() const
 {
   for (const auto& segment : tail_.segments) {
-    if (!segments_.contains(segment.id) && !given_up_.contains(segment.id)) {
+    if (!segments_.contains(segment.id) && !lost_segments_.contains(segment.id)) {
       return segment.id;
     }
   }
   return std::nullopt;
 }
 
-void shard_contents::load(claim_segment segment)
+void shard_contents::load_segment(claim_segment segment)
 {
   segments_.insert_or_assign(segment.id, std::move(segment.entries));
 }
 
-void shard_contents::give_up(const segment_id& id)
+void shard_contents::mark_segment_lost(const segment_id& id)
 {
-  given_up_.insert(id);
+  lost_segments_.insert(id);
 }
 
 const claim_entry* shard_contents::find(const hash128& key) const
@@ -94,7 +94,7 @@
 
 bool shard_contents::needs_roll() const
 {
-  return !created_ && tail_.entries.size() >= settings_.max_tail_entries;
+  return !roll_created_ && tail_.entries.size() >= settings_.max_tail_entries;
 }
 
 bool shard_contents::is_small(const segment_info& segment) const
@@ -134,14 +134,14 @@
 
 const claim_segment& shard_contents::segment_to_create()
 {
-  if (!roll_) {
+  if (!roll_segment_) {
     roll_merges_ = needs_merge();
-    roll_ = compose_segment();
+    roll_segment_ = compose_segment();
   }
-  return *roll_;
+  return *roll_segment_;
 }
 
-shard_tail shard_contents::takeover(const daemon_id& self, std::uint64_t write_nonce) const
+shard_tail shard_contents::takeover_tail(const daemon_id& self, std::uint64_t write_nonce) const
 {
   shard_tail next = tail_;
   if (tail_.epoch > 0) {
@@ -153,7 +153,7 @@
   next.write_nonce = write_nonce;
   next.next_segment = 0;
   std::erase_if(next.segments, [&](const segment_info& segment) {
-    const bool lost = given_up_.contains(segment.id);
+    const bool lost = lost_segments_.contains(segment.id);
     if (lost) {
       next.forgotten_until = std::max(next.forgotten_until, segment.max_created);
     }
@@ -162,7 +162,7 @@
   return next;
 }
 
-void shard_contents::list_created(shard_tail& next) const
+void shard_contents::list_created_segment(shard_tail& next) const
 {
   if (roll_merges_) {
     std::erase_if(next.segments, [&](const segment_info& segment) {
@@ -173,18 +173,18 @@
       return merged;
     });
   }
-  next.segments.push_back({.id = roll_->id,
-                           .entries = static_cast<std::uint32_t>(roll_->entries.size()),
-                           .max_created = max_created_of(roll_->entries)});
-  next.next_segment = roll_->id.number + 1;
+  next.segments.push_back({.id = roll_segment_->id,
+                           .entries = static_cast<std::uint32_t>(roll_segment_->entries.size()),
+                           .max_created = max_created_of(roll_segment_->entries)});
+  next.next_segment = roll_segment_->id.number + 1;
   next.entries.clear();
 }
 
-void shard_contents::forget(shard_tail& next, wall_time now) const
+void shard_contents::expire_segments(shard_tail& next, wall_time now) const
 {
-  const auto horizon = now - settings_.retention - settings_.skew_margin;
+  const auto oldest_kept = now - settings_.retention - settings_.skew_margin;
   std::erase_if(next.segments, [&](const segment_info& segment) {
-    const bool expired = segment.max_created < horizon;
+    const bool expired = segment.max_created < oldest_kept;
     if (expired) {
       next.forgotten_until = std::max(next.forgotten_until, segment.max_created);
       next.retired.push_back(segment.id);
@@ -193,18 +193,18 @@
   });
 }
 
-shard_tail shard_contents::with(std::span<const claim_entry> batch, std::uint64_t write_nonce,
-                                wall_time now) const
+shard_tail shard_contents::next_tail(std::span<const claim_entry> batch, std::uint64_t write_nonce,
+                                     wall_time now) const
 {
   shard_tail next = tail_;
   next.write_nonce = write_nonce;
   std::erase_if(next.retired, [this](const auto& id) { return deleted_.contains(id); });
-  if (created_) {
-    list_created(next);
+  if (roll_created_) {
+    list_created_segment(next);
   }
-  forget(next, now);
+  expire_segments(next, now);
   for (const auto& entry : batch) {
-    put(next.entries, entry);
+    upsert(next.entries, entry);
   }
   return next;
 }
@@ -218,14 +218,14 @@
   std::erase_if(segments_, [&](const auto& segment) { return !listed.contains(segment.first); });
 }
 
-void shard_contents::landed(std::uint64_t version, shard_tail tail)
+void shard_contents::commit(std::uint64_t version, shard_tail tail)
 {
   version_ = version;
   tail_ = std::move(tail);
-  if (created_) {
-    segments_.insert_or_assign(roll_->id, std::move(roll_->entries));
-    roll_.reset();
-    created_ = false;
+  if (roll_created_) {
+    segments_.insert_or_assign(roll_segment_->id, std::move(roll_segment_->entries));
+    roll_segment_.reset();
+    roll_created_ = false;
   }
   drop_unlisted();
   const auto is_retired = [this](const segment_id& id) {
--- a/src/claims/tail_codec.cc
+++ b/src/claims/tail_codec.cc
@@ -34,7 +34,7 @@
   std::string bytes_;
 };
 
-// Takes little-endian integers from a base64 text.
+// Reads little-endian integers from a base64 text.
 class unpacker {
  public:
   explicit unpacker(std::string_view base64)
@@ -64,7 +64,7 @@
   std::size_t position_ = 0;
 };
 
-// Position of `executor` in the table of names, added if it is new.
+// Returns the position of `executor` in the table of names; adds it if it is new.
 std::uint16_t name_index(boost::json::array& names, const daemon_id& executor)
 {
   const auto found = std::find_if(names.begin(), names.end(), [&](const boost::json::value& name) {
@@ -191,7 +191,7 @@
   };
 }
 
-// Runs `read` on the spec's fields and turns the library's errors into ours.
+// Runs `read` on the spec's fields and converts other exceptions to malformed_document_error.
 template <typename reader> auto read_checked(const boost::json::value& spec, reader read)
 {
   try {
--- a/src/core/claim_documents.cc
+++ b/src/core/claim_documents.cc
@@ -93,9 +93,9 @@
   case store_status::not_sent:
     return claims::unavailable{};
   case store_status::unavailable:
-    return claims::lost{};
+    return claims::unanswered{};
   }
-  return claims::lost{};
+  return claims::unanswered{};
 }
 
 } // namespace
--- a/src/core/claim_service.cc
+++ b/src/core/claim_service.cc
@@ -12,7 +12,7 @@
 
 // Turns the last action of an asker into an outcome; nothing for the others.
 struct outcome_of {
-  std::optional<claim_outcome> operator()(const claims::ask_owner& /*a*/) const { return {}; }
+  std::optional<claim_outcome> operator()(const claims::send_claim& /*a*/) const { return {}; }
   std::optional<claim_outcome> operator()(const claims::query_executor& /*a*/) const { return {}; }
   template <typename Final> std::optional<claim_outcome> operator()(const Final& a) const
   {
@@ -20,19 +20,19 @@
   }
 };
 
-claims::request_standing standing_of(request_state state)
+claims::execution_state standing_of(request_state state)
 {
   switch (state) {
   case request_state::in_flight:
-    return claims::request_standing::in_flight;
+    return claims::execution_state::in_flight;
   case request_state::answered:
-    return claims::request_standing::answered;
+    return claims::execution_state::answered;
   case request_state::not_run:
-    return claims::request_standing::not_run;
+    return claims::execution_state::not_run;
   case request_state::outcome_unknown:
-    return claims::request_standing::outcome_unknown;
+    return claims::execution_state::outcome_unknown;
   }
-  return claims::request_standing::outcome_unknown;
+  return claims::execution_state::outcome_unknown;
 }
 
 } // namespace
@@ -78,7 +78,7 @@
 bool claim_service::released() const
 {
   return std::all_of(owners_.begin(), owners_.end(), [](const claims::claim_shard_owner& o) {
-    return o.standing() == claims::ownership::not_owner;
+    return o.state() == claims::ownership::not_owner;
   });
 }
 
@@ -90,7 +90,7 @@
   }
   const auto token = ++last_token_;
   replies_.emplace(token, reply_target(std::in_place_index<0>, reply));
-  feed_owner(request.shard, claims::claim_asked{.token = token, .request = request});
+  feed_owner(request.shard, claims::claim_received{.token = token, .request = request});
 }
 
 void claim_service::feed_owner(std::uint32_t shard, const claims::owner_event& e)
@@ -156,21 +156,21 @@
                                       .executor = options.self,
                                       .nonce = nonce,
                                       .workspace = wish.workspace};
-  claims::claim_asker asker({.request = request,
-                             .deadline = wish.deadline,
-                             .settings = options.claims,
-                             .seed = context_.random()()});
+  claims::claim_client asker({.request = request,
+                              .deadline = wish.deadline,
+                              .settings = options.claims,
+                              .seed = context_.random()()});
   askings_.emplace(nonce, asking{.asker = std::move(asker), .done = std::move(done)});
-  feed_asker(nonce, claims::ask_started{});
+  feed_asker(nonce, claims::claim_started{});
   return nonce;
 }
 
 void claim_service::cancel(std::uint64_t nonce)
 {
-  feed_asker(nonce, claims::ask_cancelled{});
+  feed_asker(nonce, claims::claim_cancelled{});
 }
 
-void claim_service::feed_asker(std::uint64_t nonce, const claims::asker_event& e)
+void claim_service::feed_asker(std::uint64_t nonce, const claims::claim_client_event& e)
 {
   const auto it = askings_.find(nonce);
   if (it == askings_.end()) {
@@ -180,12 +180,12 @@
   context_.timers().cancel(it->second.timer);
   if (const auto due = it->second.asker.wake_at()) {
     it->second.timer =
-        context_.timers().at(*due, [this, nonce] { feed_asker(nonce, claims::ask_tick{}); });
+        context_.timers().at(*due, [this, nonce] { feed_asker(nonce, claims::claim_tick{}); });
   }
   for (const auto& a : actions) {
     if (const auto outcome = std::visit(outcome_of{}, a)) {
       finish(nonce, *outcome);
-    } else if (const auto* ask = std::get_if<claims::ask_owner>(&a)) {
+    } else if (const auto* ask = std::get_if<claims::send_claim>(&a)) {
       act(nonce, *ask);
     } else if (const auto* query = std::get_if<claims::query_executor>(&a)) {
       act(nonce, *query);
@@ -193,7 +193,7 @@
   }
 }
 
-void claim_service::act(std::uint64_t nonce, const claims::ask_owner& a)
+void claim_service::act(std::uint64_t nonce, const claims::send_claim& a)
 {
   auto owner = a.owner;
   if (owner.empty()) {
@@ -203,19 +203,19 @@
   if (owner == context_.options().self) {
     const auto token = ++last_token_;
     replies_.emplace(token, reply_target(std::in_place_index<1>, nonce));
-    feed_owner(a.request.shard, claims::claim_asked{.token = token, .request = a.request});
+    feed_owner(a.request.shard, claims::claim_received{.token = token, .request = a.request});
     return;
   }
   const auto to = fleet_.peer_address_of(owner);
   if (!to) {
     context_.timers().at(context_.now().mono,
-                         [this, nonce] { feed_asker(nonce, claims::ask_lost{}); });
+                         [this, nonce] { feed_asker(nonce, claims::claim_unanswered{}); });
     return;
   }
   context_.call_peer(*to, a.request, [this, nonce](const peer_response* response) {
     const auto* reply = response == nullptr ? nullptr : std::get_if<claims::claim_reply>(response);
     if (reply == nullptr) {
-      feed_asker(nonce, claims::ask_lost{});
+      feed_asker(nonce, claims::claim_unanswered{});
     } else {
       feed_asker(nonce, *reply);
     }
@@ -227,21 +227,21 @@
   if (fleet_.is_gone(a.executor)) {
     // Nobody else knows what became of it. Asking on would only keep the caller waiting.
     context_.timers().at(context_.now().mono, [this, nonce] {
-      feed_asker(nonce, claims::executor_answered{claims::request_standing::outcome_unknown});
+      feed_asker(nonce, claims::executor_answered{claims::execution_state::outcome_unknown});
     });
     return;
   }
   const auto to = fleet_.peer_address_of(a.executor);
   if (!to) {
     context_.timers().at(context_.now().mono,
-                         [this, nonce] { feed_asker(nonce, claims::query_lost{}); });
+                         [this, nonce] { feed_asker(nonce, claims::query_unanswered{}); });
     return;
   }
   const request_query query{.key = a.key, .nonce = a.nonce};
   context_.call_peer(*to, query, [this, nonce](const peer_response* response) {
     const auto* status = response == nullptr ? nullptr : std::get_if<request_status>(response);
     if (status == nullptr) {
-      feed_asker(nonce, claims::query_lost{});
+      feed_asker(nonce, claims::query_unanswered{});
     } else {
       feed_asker(nonce, claims::executor_answered{standing_of(status->state)});
     }
--- a/src/core/claim_service.h
+++ b/src/core/claim_service.h
@@ -20,7 +20,7 @@
 // How a claim ended for the request that asked.
 using claim_outcome =
     std::variant<claims::dispatch_claimed, claims::follow_executor, claims::refuse_claim,
-                 claims::report_unknown, claims::report_body_mismatch>;
+                 claims::report_outcome_unknown, claims::report_body_mismatch>;
 
 // What is to be claimed.
 struct claim_wish {
@@ -66,7 +66,7 @@
 
  private:
   struct asking {
-    claims::claim_asker asker;
+    claims::claim_client asker;
     claim_callback done;
     timer_number timer = 0;
   };
@@ -78,8 +78,8 @@
   void answer_owner(std::uint32_t shard, std::uint64_t id, const claims::store_operation& operation,
                     const store_answer& answer);
 
-  void feed_asker(std::uint64_t nonce, const claims::asker_event& e);
-  void act(std::uint64_t nonce, const claims::ask_owner& a);
+  void feed_asker(std::uint64_t nonce, const claims::claim_client_event& e);
+  void act(std::uint64_t nonce, const claims::send_claim& a);
   void act(std::uint64_t nonce, const claims::query_executor& a);
   void finish(std::uint64_t nonce, const claim_outcome& outcome);
 
--- a/src/core/fleet.cc
+++ b/src/core/fleet.cc
@@ -78,7 +78,7 @@
     return;
   }
   leaving_ = true;
-  view_.announce_leaving(view_.self().key, reclaim_at, context_.now());
+  view_.mark_leaving(view_.self().key, reclaim_at, context_.now());
   after_change();
   gossip_now();
   context_.call_store(
@@ -275,8 +275,8 @@
       listener_.self_leaving(notice.reclaim_at);
       continue;
     }
-    view_.announce_leaving({.kind = member_kind::endpoint, .id = notice.instance},
-                           notice.reclaim_at, context_.now());
+    view_.mark_leaving({.kind = member_kind::endpoint, .id = notice.instance}, notice.reclaim_at,
+                       context_.now());
   }
   after_change();
   gossip_now();
--- a/src/core/fleet_endpoints.cc
+++ b/src/core/fleet_endpoints.cc
@@ -84,7 +84,7 @@
 std::set<endpoint_id> fleet::reached() const
 {
   const auto daemons = view_.live_daemons();
-  const membership::subset_options subset{.size = context_.options().subset_size};
+  const membership::subset_options subset{.target_size = context_.options().subset_size};
   std::set<endpoint_id> out;
   const auto add = [&](const std::function<bool(const member&)>& matches) {
     const auto all = view_.live_endpoints(matches);
--- a/src/core/operator_service.cc
+++ b/src/core/operator_service.cc
@@ -50,7 +50,7 @@
 operator_service::operator_service(core_context& context, request_services services,
                                    request_table& requests, capacity_service& capacity)
     : context_(context), services_(services), requests_(requests), capacity_(capacity),
-      book_({.kept_for = context.options().address_validity})
+      book_({.validity = context.options().address_validity})
 {
 }
 
@@ -211,7 +211,7 @@
   }
   return json_response(status_ok, json::serialize(json::object{
                                       {"addresses", std::move(addresses)},
-                                      {"good_until_unix_ms", to_unix_ms(answer.good_until)}}));
+                                      {"good_until_unix_ms", to_unix_ms(answer.valid_until)}}));
 }
 
 } // namespace wisteriaflow::core::internal
--- a/src/core/operator_service.h
+++ b/src/core/operator_service.h
@@ -51,7 +51,7 @@
   request_services services_;
   request_table& requests_;
   capacity_service& capacity_;
-  membership::address_book book_;
+  membership::address_selector book_;
 };
 
 } // namespace wisteriaflow::core::internal
--- a/src/core/request_table.cc
+++ b/src/core/request_table.cc
@@ -509,7 +509,7 @@
   for (const auto& [workspace, demand] : own.demand) {
     const auto tokens = demand[admission::share_unit::tokens_per_second];
     const auto requests = demand[admission::share_unit::requests_per_second];
-    usage.set_own(workspace, tokens, requests);
+    usage.set_local_usage(workspace, tokens, requests);
     const auto fleet = usage.fleet_usage(workspace, now);
     if (!fleet || daemons.size() < 2) {
       continue;
--- a/src/core/request_table_actions.cc
+++ b/src/core/request_table_actions.cc
@@ -62,7 +62,7 @@
     return;
   }
   if (const auto* other = std::get_if<claims::follow_executor>(&outcome)) {
-    const bool answered = other->standing == claims::request_standing::answered;
+    const bool answered = other->state == claims::execution_state::answered;
     const auto address = services_.members.caller_address_of(other->executor);
     feed(r, requests::claim_duplicate{answered ? duplicate_state::answered_elsewhere
                                                : duplicate_state::in_flight_elsewhere,
--- a/src/membership/heartbeat_board.cc
+++ b/src/membership/heartbeat_board.cc
@@ -5,20 +5,20 @@
 
 namespace wisteriaflow::membership::internal {
 
-void heartbeat_board::add(const heartbeat& beat, mono_time now)
+void heartbeat_queue::add(const heartbeat& beat, mono_time now)
 {
-  auto& kept = kept_[beat.hash];
-  if (beat.counter > kept.counter) {
-    kept = {.counter = beat.counter, .lapses_at = now + options_.kept};
+  auto& queued = queued_[beat.hash];
+  if (beat.counter > queued.counter) {
+    queued = {.counter = beat.counter, .expires_at = now + options_.max_age};
   }
 }
 
-std::vector<heartbeat> heartbeat_board::take(mono_time now)
+std::vector<heartbeat> heartbeat_queue::take(mono_time now)
 {
-  std::erase_if(kept_, [now](const auto& item) { return now >= item.second.lapses_at; });
-  std::vector<std::pair<const std::uint64_t, kept_heartbeat>*> picked;
-  picked.reserve(kept_.size());
-  for (auto& item : kept_) {
+  std::erase_if(queued_, [now](const auto& item) { return now >= item.second.expires_at; });
+  std::vector<std::pair<const std::uint64_t, queued_heartbeat>*> picked;
+  picked.reserve(queued_.size());
+  for (auto& item : queued_) {
     picked.push_back(&item);
   }
   if (picked.size() > options_.max_heartbeats) {
@@ -32,7 +32,8 @@
     beats.push_back({.hash = item->first, .counter = item->second.counter});
     ++item->second.sends;
   }
-  std::erase_if(kept_, [this](const auto& item) { return item.second.sends >= options_.sends; });
+  std::erase_if(queued_,
+                [this](const auto& item) { return item.second.sends >= options_.max_sends; });
   return beats;
 }
 
--- a/src/membership/member.cc
+++ b/src/membership/member.cc
@@ -11,7 +11,7 @@
 namespace wisteriaflow::membership {
 namespace {
 
-auto standing_of(const member& m)
+auto precedence_of(const member& m)
 {
   return std::tuple(m.incarnation, m.state);
 }
@@ -29,9 +29,9 @@
 
 member join(const member& a, const member& b)
 {
-  const bool a_stands = standing_of(a) >= standing_of(b);
-  member joined = a_stands ? a : b;
-  if (standing_of(a) == standing_of(b)) {
+  const bool a_wins = precedence_of(a) >= precedence_of(b);
+  member joined = a_wins ? a : b;
+  if (precedence_of(a) == precedence_of(b)) {
     joined.reclaim_at = earlier(a.reclaim_at, b.reclaim_at);
   }
   joined.heartbeat =
@@ -39,12 +39,12 @@
                std::tuple(b.incarnation, b.heartbeat)) == std::tuple(a.incarnation, a.heartbeat)
           ? a.heartbeat
           : b.heartbeat;
-  const bool a_describes = a.attributes_revision != b.attributes_revision
-                               ? a.attributes_revision > b.attributes_revision
-                               : a.attributes >= b.attributes;
-  const member& described = a_describes ? a : b;
-  joined.attributes_revision = described.attributes_revision;
-  joined.attributes = described.attributes;
+  const bool a_has_newer_attributes = a.attributes_revision != b.attributes_revision
+                                          ? a.attributes_revision > b.attributes_revision
+                                          : a.attributes >= b.attributes;
+  const member& newer = a_has_newer_attributes ? a : b;
+  joined.attributes_revision = newer.attributes_revision;
+  joined.attributes = newer.attributes;
   return joined;
 }
 
@@ -62,7 +62,8 @@
   return hash64_of(key.id, static_cast<std::uint64_t>(key.kind));
 }
 
-// Chained, so that no two attributes' texts run together.
+// Each text is hashed with the hash of the previous ones as seed, so that moving characters between
+// adjacent texts changes the result.
 std::uint64_t hash_of(const member_attributes& attributes)
 {
   std::uint64_t h = (attributes.reclaimable ? 1U : 0U) + (attributes.checks_fencing ? 2U : 0U);
@@ -78,7 +79,7 @@
   return h ^ std::bit_cast<std::uint64_t>(attributes.price_per_hour);
 }
 
-std::uint64_t agreement_hash_of(const member& m)
+std::uint64_t hash_without_heartbeat(const member& m)
 {
   const auto reclaim = m.reclaim_at ? to_unix_ms(*m.reclaim_at) : 0;
   const std::array<std::uint64_t, 6> parts = {hash_of(m.key),
@@ -90,7 +91,7 @@
   return hash64_of({reinterpret_cast<const char*>(parts.data()), sizeof(parts)});
 }
 
-bool agrees(const member& a, const member& b)
+bool equal_without_heartbeat(const member& a, const member& b)
 {
   return a.key == b.key && a.incarnation == b.incarnation && a.state == b.state &&
          a.reclaim_at == b.reclaim_at && a.attributes_revision == b.attributes_revision &&
--- a/src/membership/news_board.cc
+++ b/src/membership/news_board.cc
@@ -7,7 +7,8 @@
 namespace wisteriaflow::membership::internal {
 namespace {
 
-// Copies by everybody that reach nearly all of `n` members. Urgent records are sent oftener.
+// The number of copies that each daemon must send so that a record reaches nearly all of `n`
+// members. Urgent records are sent more often.
 int copies_to_reach(std::size_t n)
 {
   return 2 + static_cast<int>(std::log(1.0 + static_cast<double>(n)));
@@ -15,39 +16,39 @@
 
 } // namespace
 
-news_board::news_board(news_board_options options, const membership_view& view)
+update_queue::update_queue(update_queue_options options, const membership_view& view)
     : options_(options), view_(view)
 {
 }
 
-void news_board::set_pushes(news& n, int pushes)
+void update_queue::set_urgent_pushes(queued_update& n, int pushes)
 {
-  urgent_ -= n.urgent_pushes > 0 ? 1 : 0;
-  n.urgent_pushes = pushes;
-  urgent_ += n.urgent_pushes > 0 ? 1 : 0;
+  urgent_count_ -= n.urgent_pushes_left > 0 ? 1 : 0;
+  n.urgent_pushes_left = pushes;
+  urgent_count_ += n.urgent_pushes_left > 0 ? 1 : 0;
 }
 
-void news_board::add(const member& m)
+void update_queue::add(const member& m)
 {
-  auto& n = news_[m.key];
-  n.copies = 0;
-  set_pushes(n, m.state == member_state::leaving ? options_.urgent_pushes : 0);
+  auto& n = updates_[m.key];
+  n.copies_sent = 0;
+  set_urgent_pushes(n, m.state == member_state::leaving ? options_.urgent_pushes : 0);
 }
 
-void news_board::remove(const member_key& key)
+void update_queue::remove(const member_key& key)
 {
-  const auto it = news_.find(key);
-  if (it != news_.end()) {
-    set_pushes(it->second, 0);
-    news_.erase(it);
+  const auto it = updates_.find(key);
+  if (it != updates_.end()) {
+    set_urgent_pushes(it->second, 0);
+    updates_.erase(it);
   }
 }
 
-std::vector<member> news_board::records_of(std::vector<item*>& picked) const
+std::vector<member> update_queue::select_records(std::vector<item*>& picked) const
 {
   if (picked.size() > options_.max_records) {
     const auto end = picked.begin() + static_cast<std::ptrdiff_t>(options_.max_records);
-    std::ranges::nth_element(picked, end, {}, [](const item* i) { return i->second.copies; });
+    std::ranges::nth_element(picked, end, {}, [](const item* i) { return i->second.copies_sent; });
     picked.erase(end, picked.end());
   }
   std::vector<member> records;
@@ -59,41 +60,41 @@
   return records;
 }
 
-std::vector<member> news_board::take()
+std::vector<member> update_queue::take()
 {
   std::vector<item*> picked;
-  for (auto& i : news_) {
+  for (auto& i : updates_) {
     picked.push_back(&i);
   }
-  auto records = records_of(picked);
+  auto records = select_records(picked);
   for (item* i : picked) {
-    ++i->second.copies;
+    ++i->second.copies_sent;
   }
-  remove_spread();
+  remove_disseminated();
   return records;
 }
 
-std::vector<member> news_board::take_urgent(int fanout)
+std::vector<member> update_queue::take_urgent(int fanout)
 {
   std::vector<item*> picked;
-  for (auto& i : news_) {
-    if (i.second.urgent_pushes > 0) {
+  for (auto& i : updates_) {
+    if (i.second.urgent_pushes_left > 0) {
       picked.push_back(&i);
     }
   }
-  auto records = records_of(picked);
+  auto records = select_records(picked);
   for (item* i : picked) {
-    i->second.copies += fanout;
-    set_pushes(i->second, i->second.urgent_pushes - 1);
+    i->second.copies_sent += fanout;
+    set_urgent_pushes(i->second, i->second.urgent_pushes_left - 1);
   }
   return records;
 }
 
-void news_board::remove_spread()
+void update_queue::remove_disseminated()
 {
-  const int enough = copies_to_reach(view_.size());
-  std::erase_if(news_, [enough](const item& i) {
-    return i.second.copies >= enough && i.second.urgent_pushes == 0;
+  const int copies_needed = copies_to_reach(view_.size());
+  std::erase_if(updates_, [copies_needed](const item& i) {
+    return i.second.copies_sent >= copies_needed && i.second.urgent_pushes_left == 0;
   });
 }
 
--- a/src/membership/repair_pacer.cc
+++ b/src/membership/repair_pacer.cc
@@ -3,55 +3,55 @@
 namespace wisteriaflow::membership::internal {
 namespace {
 
-// Repair is put off by changes at most this many times its delay.
-constexpr int longest_delays = 3;
+// Changes of the view can put repair off by at most this multiple of the delay.
+constexpr int max_delay_factor = 3;
 
 } // namespace
 
-repair_pacer::repair_pacer(std::chrono::milliseconds delay, mono_time now)
-    : delay_(delay), quiet_at_(now), due_(now)
+repair_scheduler::repair_scheduler(std::chrono::milliseconds delay, mono_time now)
+    : delay_(delay), unchanged_until_(now), deferred_until_(now)
 {
 }
 
-void repair_pacer::note_change(mono_time now)
+void repair_scheduler::note_change(mono_time now)
 {
-  if (now >= quiet_at_) {
-    due_ = now + longest_delays * delay_;
+  if (now >= unchanged_until_) {
+    deferred_until_ = now + max_delay_factor * delay_;
   }
-  quiet_at_ = now + delay_;
+  unchanged_until_ = now + delay_;
 }
 
-void repair_pacer::note_agreement(const daemon_id& peer)
+void repair_scheduler::note_agreement(const daemon_id& peer)
 {
-  settled_ = true;
+  has_synced_ = true;
   if (recheck_ && recheck_->peer == peer) {
     recheck_.reset();
   }
 }
 
-bool repair_pacer::note_difference(const daemon_id& peer, mono_time now)
+bool repair_scheduler::note_difference(const daemon_id& peer, mono_time now)
 {
-  if (!settled_) {
-    // A newcomer does not wait: its view differs because it is empty.
-    settled_ = true;
+  if (!has_synced_) {
+    // A daemon that has just joined does not wait: its view differs because it is empty.
+    has_synced_ = true;
     return true;
   }
-  if (now < quiet_at_ && now < due_) {
+  if (now < unchanged_until_ && now < deferred_until_) {
     return false;
   }
-  if (!recheck_ || now >= recheck_->lapses_at) {
-    recheck_ = {.peer = peer, .due = now + delay_, .lapses_at = now + longest_delays * delay_};
+  if (!recheck_ || now >= recheck_->expires_at) {
+    recheck_ = {.peer = peer, .due = now + delay_, .expires_at = now + max_delay_factor * delay_};
     return false;
   }
   if (recheck_->peer != peer || now < recheck_->due) {
     return false;
   }
   recheck_.reset();
-  due_ = now + longest_delays * delay_;
+  deferred_until_ = now + max_delay_factor * delay_;
   return true;
 }
 
-std::optional<daemon_id> repair_pacer::take_recheck(mono_time now)
+std::optional<daemon_id> repair_scheduler::take_recheck(mono_time now)
 {
   if (!recheck_ || recheck_->taken || now < recheck_->due) {
     return std::nullopt;
--- a/src/membership/score.h
+++ b/src/membership/score.h
@@ -1,4 +1,5 @@
-// Scores of pairs whose names were hashed before: rendezvous hashing of many against many.
+// Rendezvous scores for many pairs of members: the names are hashed once, and each pair's score is
+// computed from the two hashes.
 
 #ifndef WISTERIAFLOW_SRC_MEMBERSHIP_SCORE_H_
 #define WISTERIAFLOW_SRC_MEMBERSHIP_SCORE_H_
@@ -7,7 +8,8 @@
 
 namespace wisteriaflow::membership::internal {
 
-// Finalizer of SplitMix64 over both hashes; every bit of each changes about half of the result's.
+// The SplitMix64 finalizer over both hashes. Flipping any input bit changes about half of the
+// result's bits.
 constexpr std::uint64_t pair_score(std::uint64_t a, std::uint64_t b)
 {
   std::uint64_t x = a ^ (b * 0x9e3779b97f4a7c15ULL);
--- a/src/membership/subsets.cc
+++ b/src/membership/subsets.cc
@@ -19,8 +19,8 @@
   return hashes;
 }
 
-// Whether fewer than `holders` daemons score higher for the endpoint than `self`.
-bool is_picked(std::uint64_t endpoint, std::uint64_t self, std::size_t holders,
+// Whether fewer than `holders` daemons have a higher score for the endpoint than `self`.
+bool is_holder(std::uint64_t endpoint, std::uint64_t self, std::size_t holders,
                const std::vector<std::uint64_t>& daemons)
 {
   const auto own = internal::pair_score(endpoint, self);
@@ -34,13 +34,14 @@
   return true;
 }
 
-// Adds the endpoints that the daemon ranks best until it has `wanted`.
-void top_up(std::vector<bool>& held, std::size_t wanted, std::uint64_t self,
-            const std::vector<std::uint64_t>& endpoints)
+// Selects further endpoints, those with the best scores for the daemon first, until it has
+// `wanted`.
+void add_best_ranked(std::vector<bool>& selected, std::size_t wanted, std::uint64_t self,
+                     const std::vector<std::uint64_t>& endpoints)
 {
   std::vector<std::size_t> others;
   for (std::size_t i = 0; i < endpoints.size(); ++i) {
-    if (!held[i]) {
+    if (!selected[i]) {
       others.push_back(i);
     }
   }
@@ -48,47 +49,47 @@
                     [&](std::size_t i) { return internal::pair_score(endpoints[i], self); });
   const auto has = endpoints.size() - others.size();
   for (std::size_t i = 0; has + i < wanted && i < others.size(); ++i) {
-    held[others[i]] = true;
+    selected[others[i]] = true;
   }
 }
 
 } // namespace
 
-std::size_t holders_of_each(std::size_t daemons, std::size_t endpoints,
-                            const subset_options& options)
+std::size_t holders_per_endpoint(std::size_t daemons, std::size_t endpoints,
+                                 const subset_options& options)
 {
-  if (daemons == 0 || endpoints <= options.size) {
+  if (daemons == 0 || endpoints <= options.target_size) {
     return daemons;
   }
-  const double wished = static_cast<double>(options.size) * static_cast<double>(daemons) /
+  const double wanted = static_cast<double>(options.target_size) * static_cast<double>(daemons) /
                         static_cast<double>(endpoints);
   constexpr double steps_per_octave = 4;
   const double stepped =
-      std::exp2(std::round(std::log2(wished) * steps_per_octave) / steps_per_octave);
+      std::exp2(std::round(std::log2(wanted) * steps_per_octave) / steps_per_octave);
   const auto rounded = static_cast<std::size_t>(std::lround(stepped));
-  return std::min(daemons, std::max(options.fewest_holders, rounded));
+  return std::min(daemons, std::max(options.min_holders, rounded));
 }
 
 std::vector<endpoint_id> subset_of(const daemon_id& self, std::span<const member* const> daemons,
                                    std::span<const member* const> endpoints,
                                    const subset_options& options)
 {
-  const auto holders = holders_of_each(daemons.size(), endpoints.size(), options);
+  const auto holders = holders_per_endpoint(daemons.size(), endpoints.size(), options);
   const auto daemon_hashes = hashes_of(daemons);
   const auto endpoint_hashes = hashes_of(endpoints);
   const auto own = hash_of({member_kind::daemon, self.value()});
-  std::vector<bool> held(endpoints.size());
+  std::vector<bool> selected(endpoints.size());
   std::size_t n = 0;
   for (std::size_t i = 0; i < endpoints.size(); ++i) {
-    held[i] = is_picked(endpoint_hashes[i], own, holders, daemon_hashes);
-    n += held[i] ? 1U : 0U;
+    selected[i] = is_holder(endpoint_hashes[i], own, holders, daemon_hashes);
+    n += selected[i] ? 1U : 0U;
   }
-  if (n < options.fewest_endpoints) {
-    top_up(held, options.fewest_endpoints, own, endpoint_hashes);
+  if (n < options.min_endpoints) {
+    add_best_ranked(selected, options.min_endpoints, own, endpoint_hashes);
   }
   std::vector<endpoint_id> subset;
   for (std::size_t i = 0; i < endpoints.size(); ++i) {
-    if (held[i]) {
+    if (selected[i]) {
       subset.emplace_back(endpoints[i]->key.id);
     }
   }
--- a/src/membership/view.cc
+++ b/src/membership/view.cc
@@ -11,7 +11,7 @@
     : options_(std::move(options)), self_key_{member_kind::daemon, options_.self.value()},
       version_(options_.incarnation), heartbeat_due_(now.mono + options_.heartbeat_period)
 {
-  store(entry_of(self_key_, now),
+  store(find_or_add(self_key_, now),
         {.key = self_key_,
          .incarnation = options_.incarnation,
          .heartbeat = 1,
@@ -30,32 +30,32 @@
   return hash64_of(m.key.id, m.incarnation);
 }
 
-membership_view::entry& membership_view::entry_of(const member_key& key, clock_reading now)
+membership_view::entry& membership_view::find_or_add(const member_key& key, clock_reading now)
 {
   auto [it, added] = entries_.try_emplace(key);
   if (added) {
     it->second.record.key = key;
-    refresh(it->second, now);
+    reset_deadlines(it->second, now);
   }
   return it->second;
 }
 
-void membership_view::refresh(entry& e, clock_reading now) const
+void membership_view::reset_deadlines(entry& e, clock_reading now) const
 {
   const bool is_daemon = e.record.key.kind == member_kind::daemon;
   e.suspected = false;
   e.suspected_at = now.mono + options_.suspected_after;
-  e.gone_at = now.mono + (is_daemon ? options_.gone_after : options_.missing_after);
+  e.gone_at = now.mono + (is_daemon ? options_.gone_after : options_.unlisted_gone_after);
 }
 
-// Adds a record to the hashes or takes it out. Gone members are left out, because views forget
-// them at different times.
-void membership_view::count(const member& m, bool present)
+// Adds a record to the bucket hashes or removes it. Gone members are not included, because views
+// forget them at different times.
+void membership_view::update_hash(const member& m, bool present)
 {
   if (m.state == member_state::gone) {
     return;
   }
-  const auto part = static_cast<std::uint32_t>(agreement_hash_of(m));
+  const auto part = static_cast<std::uint32_t>(hash_without_heartbeat(m));
   auto& bucket = buckets_.at(bucket_of(m.key));
   bucket = present ? bucket + part : bucket - part;
 }
@@ -70,94 +70,95 @@
   return hash64_of({reinterpret_cast<const char*>(buckets_.data()), sizeof(buckets_)});
 }
 
-// Replaces a record and notes the change. True if more than the heartbeat changed.
+// Replaces a record and its change version. Returns true if more than the heartbeat changed.
 bool membership_view::store(entry& e, const member& joined, clock_reading now)
 {
-  const bool is_new = e.changed == 0;
+  const bool is_new = e.changed_version == 0;
   const bool rose = std::pair(joined.incarnation, joined.heartbeat) >
                     std::pair(e.record.incarnation, e.record.heartbeat);
-  if (!is_new && agrees(e.record, joined)) {
+  if (!is_new && equal_without_heartbeat(e.record, joined)) {
     e.record.heartbeat = joined.heartbeat;
     if (rose) {
-      refresh(e, now);
+      reset_deadlines(e, now);
     }
     return false;
   }
   if (!is_new) {
-    count(e.record, false);
-    changes_.erase(e.changed);
+    update_hash(e.record, false);
+    changes_.erase(e.changed_version);
     heartbeat_keys_.erase(heartbeat_hash_of(e.record));
   }
   if (rose) {
-    refresh(e, now);
+    reset_deadlines(e, now);
   }
   if (joined.state == member_state::leaving && (is_new || e.record.state != joined.state)) {
-    e.left_at = now.mono + options_.leaving_without_time;
+    e.leaving_expires_at = now.mono + options_.max_leaving_time;
   }
   e.record = joined;
-  e.changed = ++version_;
-  count(joined, true);
-  changes_.emplace(e.changed, joined.key);
+  e.changed_version = ++version_;
+  update_hash(joined, true);
+  changes_.emplace(e.changed_version, joined.key);
   if (joined.key.kind == member_kind::daemon) {
     heartbeat_keys_.emplace(heartbeat_hash_of(joined), joined.key);
   }
   return true;
 }
 
-bool membership_view::apply(const member& heard, clock_reading now)
+bool membership_view::apply(const member& received, clock_reading now)
 {
-  if (is_self(heard.key)) {
-    refute(heard, now);
+  if (is_self(received.key)) {
+    refute(received, now);
     return false;
   }
-  member record = heard;
-  if (heard.state == member_state::gone) {
-    record.reclaim_at = heard.reclaim_at.value_or(now.wall);
-    // A peer that forgets later than this daemon must not bring the record back.
-    const bool forgotten = *record.reclaim_at + options_.tombstone_kept <= now.wall;
-    if (forgotten && !entries_.contains(heard.key)) {
+  member record = received;
+  if (received.state == member_state::gone) {
+    record.reclaim_at = received.reclaim_at.value_or(now.wall);
+    // A peer that forgets the member later than this daemon must not bring the record back.
+    const bool forgotten = *record.reclaim_at + options_.tombstone_retention <= now.wall;
+    if (forgotten && !entries_.contains(received.key)) {
       return false;
     }
   }
-  entry& e = entry_of(heard.key, now);
-  return store(e, e.changed == 0 ? record : join(e.record, record), now);
+  entry& e = find_or_add(received.key, now);
+  return store(e, e.changed_version == 0 ? record : join(e.record, record), now);
 }
 
-// A word about this daemon that it did not say itself: from an earlier incarnation, or a peer that
-// took it for gone. Its next incarnation overrules it. A notice that it leaves is believed, also
-// one of an earlier incarnation if its reclaim is to come: a restart does not save the instance.
-void membership_view::refute(const member& heard, clock_reading now)
+// Handles a record of this daemon that came from a peer: from an earlier incarnation of it, or from
+// a peer that declared it gone. Raising the incarnation overrides such a record. A notice that this
+// daemon is leaving is accepted, also one for an earlier incarnation if its reclaim time is in the
+// future, because a restart of the process does not prevent the reclaim of the instance.
+void membership_view::refute(const member& received, clock_reading now)
 {
   entry& e = entries_.at(self_key_);
   member own = e.record;
-  const bool to_come = heard.reclaim_at && *heard.reclaim_at > now.wall;
-  const bool same = heard.incarnation == own.incarnation;
-  if (heard.state == member_state::leaving && (same || to_come)) {
-    member notice = heard;
+  const bool reclaim_is_ahead = received.reclaim_at && *received.reclaim_at > now.wall;
+  const bool same_incarnation = received.incarnation == own.incarnation;
+  if (received.state == member_state::leaving && (same_incarnation || reclaim_is_ahead)) {
+    member notice = received;
     notice.incarnation = own.incarnation;
     notice.heartbeat = 0;
     notice.attributes_revision = 0;
     own = join(own, notice);
   }
-  if (heard.incarnation < own.incarnation) {
+  if (received.incarnation < own.incarnation) {
     store(e, own, now);
     return;
   }
-  if (heard.incarnation > own.incarnation || heard.state == member_state::gone) {
-    own.incarnation = heard.incarnation + 1;
-    own.attributes_revision = std::max(heard.attributes_revision, own.attributes_revision) + 1;
+  if (received.incarnation > own.incarnation || received.state == member_state::gone) {
+    own.incarnation = received.incarnation + 1;
+    own.attributes_revision = std::max(received.attributes_revision, own.attributes_revision) + 1;
   }
   store(e, own, now);
 }
 
-void membership_view::announce_leaving(const member_key& key, std::optional<wall_time> reclaim_at,
-                                       clock_reading now)
+void membership_view::mark_leaving(const member_key& key, std::optional<wall_time> reclaim_at,
+                                   clock_reading now)
 {
-  entry& e = entry_of(key, now);
+  entry& e = find_or_add(key, now);
   member notice = without_attributes(e.record);
   notice.state = member_state::leaving;
   notice.reclaim_at = reclaim_at;
-  store(e, e.changed == 0 ? notice : join(e.record, notice), now);
+  store(e, e.changed_version == 0 ? notice : join(e.record, notice), now);
 }
 
 bool membership_view::apply_heartbeat(std::uint64_t hash, std::uint64_t counter, clock_reading now)
@@ -171,7 +172,7 @@
     return false;
   }
   e.record.heartbeat = counter;
-  refresh(e, now);
+  reset_deadlines(e, now);
   return true;
 }
 
@@ -182,8 +183,9 @@
     return;
   }
   entry& e = it->second;
-  ++e.failures;
-  if (key.kind == member_kind::daemon && e.failures >= options_.failures_until_unreachable) {
+  ++e.connect_failures;
+  if (key.kind == member_kind::daemon &&
+      e.connect_failures >= options_.failures_until_unreachable) {
     e.suspected = true;
     e.suspected_at = std::min(e.suspected_at, now.mono);
   }
@@ -195,8 +197,8 @@
   if (it == entries_.end()) {
     return;
   }
-  it->second.failures = 0;
-  refresh(it->second, now);
+  it->second.connect_failures = 0;
+  reset_deadlines(it->second, now);
 }
 
 } // namespace wisteriaflow::membership
--- a/src/membership/view_list.cc
+++ b/src/membership/view_list.cc
@@ -1,4 +1,4 @@
-// How a view joins what the instance list shows.
+// Merging the instance list into a view.
 
 #include <set>
 
@@ -6,7 +6,7 @@
 
 namespace wisteriaflow::membership {
 
-// What the list says of a member, as a record that joins with what is known of it.
+// Returns the listed member as a record that can be joined with the stored one.
 member membership_view::listed_record(entry& e, const member& listed, clock_reading now) const
 {
   member record = listed;
@@ -16,20 +16,21 @@
   if (e.record.state != member_state::live) {
     record.reclaim_at = e.record.reclaim_at;
   }
-  const auto shown = hash_of(listed.attributes);
-  const bool edited = e.list_attributes_hash && *e.list_attributes_hash != shown;
+  const auto listed_hash = hash_of(listed.attributes);
+  const bool edited = e.list_attributes_hash && *e.list_attributes_hash != listed_hash;
   if (!e.list_attributes_hash || edited) {
-    e.list_attributes_hash = shown;
-    e.list_settles_at = now.mono + options_.list_settles_after;
+    e.list_attributes_hash = listed_hash;
+    e.list_trusted_at = now.mono + options_.list_trusted_after;
   }
-  // An edit is news; the same old words from a list that lags are not, until it has settled.
+  // Changed attributes are newer than the stored ones. Unchanged ones may come from a list that
+  // lags, so they count only once the list has shown them long enough.
   const bool is_daemon = listed.key.kind == member_kind::daemon;
-  const bool is_news = edited || now.mono >= e.list_settles_at;
+  const bool overrides_attributes = edited || now.mono >= e.list_trusted_at;
   if (is_daemon && e.record.attributes_revision > 1) {
-    // A daemon describes itself.
+    // A daemon publishes its own attributes.
     record.attributes_revision = e.record.attributes_revision;
     record.attributes = e.record.attributes;
-  } else if (is_news && e.record.attributes != listed.attributes) {
+  } else if (overrides_attributes && e.record.attributes != listed.attributes) {
     record.attributes_revision = e.record.attributes_revision + 1;
   }
   return record;
@@ -37,26 +38,26 @@
 
 void membership_view::apply_list(std::span<const member> listed, clock_reading now)
 {
-  std::set<member_key> shown;
+  std::set<member_key> listed_keys;
   for (const member& m : listed) {
-    shown.insert(m.key);
+    listed_keys.insert(m.key);
     if (is_self(m.key)) {
       if (m.state == member_state::leaving) {
-        announce_leaving(m.key, m.reclaim_at, now);
+        mark_leaving(m.key, m.reclaim_at, now);
       }
       continue;
     }
-    entry& e = entry_of(m.key, now);
-    const bool is_new = e.changed == 0;
+    entry& e = find_or_add(m.key, now);
+    const bool is_new = e.changed_version == 0;
     const member record = listed_record(e, m, now);
     store(e, is_new ? record : join(e.record, record), now);
     e.listed = true;
     if (m.key.kind == member_kind::endpoint) {
-      refresh(e, now);
+      reset_deadlines(e, now);
     }
   }
   for (auto& [key, e] : entries_) {
-    if (shown.contains(key)) {
+    if (listed_keys.contains(key)) {
       continue;
     }
     e.listed = false;
--- a/src/membership/view_queries.cc
+++ b/src/membership/view_queries.cc
@@ -1,4 +1,4 @@
-// What a view answers; see view.cc for how it changes.
+// Queries of a view; see view.cc for the updates.
 
 #include "wisteriaflow/membership/view.h"
 
@@ -32,7 +32,7 @@
   std::vector<const member*> found;
   for (const auto& [key, e] : entries_) {
     if (key.kind != member_kind::daemon) {
-      break; // Daemons come first.
+      break; // Daemons sort first.
     }
     if (!is_self(key) && e.record.state != member_state::gone) {
       found.push_back(&e.record);
@@ -46,8 +46,8 @@
 {
   std::vector<const member*> found;
   for (const auto& [key, e] : entries_) {
-    const bool live =
-        e.record.state == member_state::live && e.failures < options_.failures_until_unreachable;
+    const bool live = e.record.state == member_state::live &&
+                      e.connect_failures < options_.failures_until_unreachable;
     if (key.kind == member_kind::endpoint && live && matches(e.record)) {
       found.push_back(&e.record);
     }
@@ -70,7 +70,7 @@
 bool membership_view::is_unreachable(const endpoint_id& endpoint) const
 {
   const auto it = entries_.find({member_kind::endpoint, endpoint.value()});
-  return it != entries_.end() && it->second.failures >= options_.failures_until_unreachable;
+  return it != entries_.end() && it->second.connect_failures >= options_.failures_until_unreachable;
 }
 
 } // namespace wisteriaflow::membership
--- a/src/peer/peer_codec.cc
+++ b/src/peer/peer_codec.cc
@@ -56,7 +56,8 @@
   return v1::CLAIM_RESULT_UNSPECIFIED;
 }
 
-// A result that this version does not know grants nothing: it is asked again elsewhere.
+// A result that this version does not know grants nothing: the claim is sent again, to another
+// owner.
 claims::claim_result decode_result(v1::ClaimResult in)
 {
   switch (in) {
@@ -224,7 +225,7 @@
   out.set_measured_at_unix_ms(to_unix_ms(in.measured_at));
 }
 
-// A response's alternative, or null if the core answered with another one.
+// Returns the response's alternative, or null if the core answered with another type.
 template <typename T> const T* response_as(const core::peer_response& in)
 {
   return std::get_if<T>(&in);
--- a/src/peer/peer_codec.h
+++ b/src/peer/peer_codec.h
@@ -1,4 +1,4 @@
-// Plain peer messages to protobuf and back.
+// Converts peer messages between plain structs and protobuf.
 
 #ifndef WISTERIAFLOW_SRC_PEER_PEER_CODEC_H_
 #define WISTERIAFLOW_SRC_PEER_PEER_CODEC_H_
@@ -8,7 +8,7 @@
 
 namespace wisteriaflow::peer {
 
-// Requests. Unknown enumerators, as from a newer daemon, become the most careful value.
+// Requests. Unknown enumerators, for example from a newer daemon, are decoded as the safest value.
 void encode(const membership::gossip_message& in, v1::GossipMessage& out);
 void encode(const claims::claim_request& in, v1::ClaimRequest& out);
 void encode(const core::request_query& in, v1::RequestQuery& out);
@@ -16,7 +16,7 @@
 void encode(const core::configuration_query& in, v1::ConfigurationQuery& out);
 void encode(const core::place_note& in, v1::PlaceNote& out);
 
-// Responses. A response of another type than `out` leaves it empty, which reads as a refusal.
+// Responses. A response of another type than `out` leaves `out` empty, which decodes as a refusal.
 void encode(const core::peer_response& in, v1::GossipMessage& out);
 void encode(const core::peer_response& in, v1::ClaimReply& out);
 void encode(const core::peer_response& in, v1::RequestStatus& out);
--- a/src/peer/peer_side.cc
+++ b/src/peer/peer_side.cc
@@ -20,34 +20,34 @@
 namespace wisteriaflow::peer {
 namespace {
 
-constexpr int thread_limit = 6; // of gRPC's own; its default grows with the cores
+constexpr int thread_limit = 6; // of gRPC's own threads; its default grows with the number of cores
 
 using deadline_clock = std::chrono::system_clock;
 
-// gRPC deadlines are wall-clock; ours are monotonic.
+// gRPC deadlines use the wall clock; the core's use the monotonic clock.
 deadline_clock::time_point to_grpc(mono_time deadline)
 {
   const auto left = deadline - std::chrono::steady_clock::now();
   return deadline_clock::now() + std::chrono::duration_cast<deadline_clock::duration>(left);
 }
 
-// The peer asks another daemon.
+// The calling peer then tries another daemon.
 grpc::Status stopping_status()
 {
   return {grpc::StatusCode::UNAVAILABLE, "stopping"};
 }
 
 // A peer's call that waits for the core's reply.
-struct waiting_call {
+struct pending_call {
   grpc::ServerUnaryReactor* reactor = nullptr;
-  std::function<void(const core::peer_response&)> fill; // writes the gRPC response
+  std::function<void(const core::peer_response&)> write_response; // writes the gRPC response
 };
 
-// The calls that wait, shared by gRPC's threads and the duty's own.
-class waiting_calls {
+// The calls that wait for a reply, shared by gRPC's threads and the thread of peer_side.
+class pending_calls {
  public:
-  // Nothing once closed: nobody would finish the call any more.
-  std::optional<core::peer_reply_number> add(waiting_call call)
+  // Returns nothing once closed, because the call would never be finished.
+  std::optional<core::peer_reply_number> add(pending_call call)
   {
     const std::scoped_lock lock(mutex_);
     if (closed_) {
@@ -57,8 +57,8 @@
     return last_;
   }
 
-  // Removes and returns a call; its reactor is null if there is none.
-  waiting_call take(core::peer_reply_number reply)
+  // Removes and returns a call; its reactor is null if there is no such call.
+  pending_call take(core::peer_reply_number reply)
   {
     const std::scoped_lock lock(mutex_);
     const auto it = calls_.find(reply);
@@ -70,9 +70,9 @@
     return call;
   }
 
-  // Takes no further call and returns those that waited. gRPC's shutdown waits for every call
-  // without a limit, so a call added after this would keep the process from ending.
-  std::map<core::peer_reply_number, waiting_call> close()
+  // Rejects further calls and returns the pending ones. gRPC's shutdown waits for every call
+  // without a time limit, so a call that was added later would keep the process from ending.
+  std::map<core::peer_reply_number, pending_call> close()
   {
     const std::scoped_lock lock(mutex_);
     closed_ = true;
@@ -81,7 +81,7 @@
 
  private:
   std::mutex mutex_;
-  std::map<core::peer_reply_number, waiting_call> calls_;
+  std::map<core::peer_reply_number, pending_call> calls_;
   core::peer_reply_number last_ = 0;
   bool closed_ = false;
 };
@@ -89,69 +89,72 @@
 // Turns each call into an event for the core.
 class service final : public v1::Peer::CallbackService {
  public:
-  service(std::shared_ptr<daemon::event_ring> core, waiting_calls& waiting)
-      : core_(std::move(core)), waiting_(waiting)
+  service(std::shared_ptr<daemon::event_ring> core, pending_calls& waiting)
+      : core_(std::move(core)), pending_(waiting)
   {
   }
 
   grpc::ServerUnaryReactor* Gossip(grpc::CallbackServerContext* context,
                                    const v1::GossipMessage* in, v1::GossipMessage* out) override
   {
-    return ask(context, *in, out);
+    return forward_to_core(context, *in, out);
   }
   grpc::ServerUnaryReactor* Claim(grpc::CallbackServerContext* context, const v1::ClaimRequest* in,
                                   v1::ClaimReply* out) override
   {
-    return ask(context, *in, out);
+    return forward_to_core(context, *in, out);
   }
   grpc::ServerUnaryReactor* QueryRequest(grpc::CallbackServerContext* context,
                                          const v1::RequestQuery* in,
                                          v1::RequestStatus* out) override
   {
-    return ask(context, *in, out);
+    return forward_to_core(context, *in, out);
   }
   grpc::ServerUnaryReactor* HandOver(grpc::CallbackServerContext* context,
                                      const v1::HandedOverRequest* in,
                                      v1::HandOverReply* out) override
   {
-    return ask(context, *in, out);
+    return forward_to_core(context, *in, out);
   }
   grpc::ServerUnaryReactor* GetConfiguration(grpc::CallbackServerContext* context,
                                              const v1::ConfigurationQuery* in,
                                              v1::Configuration* out) override
   {
-    return ask(context, *in, out);
+    return forward_to_core(context, *in, out);
   }
   grpc::ServerUnaryReactor* NotePlace(grpc::CallbackServerContext* context, const v1::PlaceNote* in,
                                       v1::PlaceNoteReply* out) override
   {
-    return ask(context, *in, out);
+    return forward_to_core(context, *in, out);
   }
 
  private:
   template <typename In, typename Out>
-  grpc::ServerUnaryReactor* ask(grpc::CallbackServerContext* context, const In& in, Out* out)
+  grpc::ServerUnaryReactor* forward_to_core(grpc::CallbackServerContext* context, const In& in,
+                                            Out* out)
   {
     auto* reactor = context->DefaultReactor();
-    const auto fill = [out](const core::peer_response& response) { encode(response, *out); };
-    const auto reply = waiting_.add({.reactor = reactor, .fill = fill});
+    const auto write_response = [out](const core::peer_response& response) {
+      encode(response, *out);
+    };
+    const auto reply = pending_.add({.reactor = reactor, .write_response = write_response});
     if (!reply) {
       reactor->Finish(stopping_status());
       return reactor;
     }
-    core::event asked =
+    core::event received =
         core::peer_asked{.reply = *reply, .message = decode(in), .bytes = in.ByteSizeLong()};
-    if (!core_->try_push(std::move(asked)) && waiting_.take(*reply).reactor != nullptr) {
+    if (!core_->try_push(std::move(received)) && pending_.take(*reply).reactor != nullptr) {
       reactor->Finish({grpc::StatusCode::RESOURCE_EXHAUSTED, "the core's ring is full"});
     }
     return reactor;
   }
 
   std::shared_ptr<daemon::event_ring> core_;
-  waiting_calls& waiting_;
+  pending_calls& pending_;
 };
 
-// The calls to other daemons whose callback has not run to its end.
+// The calls to other daemons whose callback has not finished.
 class outgoing_calls {
  public:
   void add(std::shared_ptr<grpc::ClientContext> context)
@@ -161,30 +164,30 @@
     ++unfinished_;
   }
 
-  // The callback's last step. `context` must be its last reference to the call.
+  // The last step of the callback. `context` must be its last reference to the call.
   void finish(std::shared_ptr<grpc::ClientContext> context)
   {
     {
       const std::scoped_lock lock(mutex_);
       contexts_.erase(context);
     }
-    // Outside the lock, since gRPC may run other callbacks in here.
+    // Not under the lock, since gRPC may run other callbacks in here.
     context.reset();
     const std::scoped_lock lock(mutex_);
     --unfinished_;
-    none_left_.notify_all();
+    all_finished_.notify_all();
   }
 
-  // Cancels all and waits for their callbacks, which follow at once. Without this the last
-  // reference to a channel could be dropped by a callback, where gRPC 1.51 frees the queue that
-  // the callback's own thread reads, and the process aborts at its end.
+  // Cancels all calls and waits for their callbacks, which follow at once. Otherwise a callback
+  // could drop the last reference to a channel. gRPC 1.51 then frees the queue that the callback's
+  // own thread reads, and the process aborts at exit.
   void cancel_all()
   {
     for (const auto& each : contexts()) {
       each->TryCancel();
     }
     std::unique_lock lock(mutex_);
-    none_left_.wait(lock, [this] { return unfinished_ == 0; });
+    all_finished_.wait(lock, [this] { return unfinished_ == 0; });
   }
 
  private:
@@ -195,12 +198,12 @@
   }
 
   std::mutex mutex_;
-  std::condition_variable none_left_;
+  std::condition_variable all_finished_;
   std::set<std::shared_ptr<grpc::ClientContext>> contexts_;
   int unfinished_ = 0;
 };
 
-// Channels to other daemons, the least recently used closed first.
+// Channels to other daemons. The least recently used one is closed first.
 class channel_cache {
  public:
   explicit channel_cache(std::size_t limit) : limit_(limit) {}
@@ -228,7 +231,8 @@
   {
     constexpr int reconnect_ms = 1'000;
     grpc::ChannelArguments arguments;
-    // A peer that comes back must not be waited for behind gRPC's backoff of minutes.
+    // gRPC's default backoff grows to minutes, which would delay calls to a peer that is available
+    // again.
     arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, reconnect_ms);
     arguments.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, reconnect_ms / 10);
     arguments.SetInt(GRPC_ARG_ENABLE_HTTP_PROXY, 0);
@@ -247,7 +251,7 @@
 class peer_side::implementation {
  public:
   implementation(peer_side_options options, std::shared_ptr<daemon::event_ring> core)
-      : options_(std::move(options)), core_(std::move(core)), service_(core_, waiting_),
+      : options_(std::move(options)), core_(std::move(core)), service_(core_, pending_),
         channels_(options_.channel_limit),
         ring_(
             std::make_shared<daemon::bounded_ring<core::peer_action>>(daemon::action_ring_capacity))
@@ -287,7 +291,7 @@
       return;
     }
     outgoing_.cancel_all();
-    for (auto& [reply, call] : waiting_.close()) {
+    for (auto& [reply, call] : pending_.close()) {
       call.reactor->Finish(stopping_status());
     }
     server_->Shutdown(deadline_clock::now());
@@ -302,22 +306,22 @@
   {
     while (!ring_->closed()) {
       for (auto& a : ring_->wait_pop_all(mono_time::max())) {
-        std::visit([this](auto& one) { take(one); }, a);
+        std::visit([this](auto& one) { execute(one); }, a);
       }
     }
   }
 
-  void take(core::reply_to_peer& a)
+  void execute(core::reply_to_peer& a)
   {
-    auto call = waiting_.take(a.reply);
+    auto call = pending_.take(a.reply);
     if (call.reactor == nullptr) {
-      return; // already failed
+      return; // failed already
     }
-    call.fill(a.message);
+    call.write_response(a.message);
     call.reactor->Finish(grpc::Status::OK);
   }
 
-  void take(core::send_to_peer& a)
+  void execute(core::send_to_peer& a)
   {
     const auto stub = channels_.stub_for(to_string(a.to));
     std::visit([&](const auto& message) { send(a, message, stub); }, a.message);
@@ -362,7 +366,8 @@
         a, message, stub, [](auto* s, auto... arguments) { s->async()->NotePlace(arguments...); });
   }
 
-  // Sends one call; its answer becomes an event. The state lives until gRPC's callback.
+  // Sends one call; its answer becomes an event for the core. The state lives until gRPC's
+  // callback.
   template <typename Request, typename Reply, typename Message, typename Invoke>
   void call(const core::send_to_peer& a, const Message& message,
             const std::shared_ptr<v1::Peer::Stub>& stub, Invoke invoke)
@@ -384,7 +389,8 @@
         e = core::peer_answered{
             .call = number, .message = decode(state->reply), .bytes = state->reply.ByteSizeLong()};
       }
-      // A lost answer is what the core must bear anyway: its own deadline for the call passes.
+      // If the ring is full the answer is lost, which the core handles anyway: its own deadline for
+      // the call passes.
       core_->try_push(std::move(e));
       auto* context = &state->context;
       outgoing_.finish({std::move(state), context});
@@ -397,7 +403,7 @@
 
   peer_side_options options_;
   std::shared_ptr<daemon::event_ring> core_;
-  waiting_calls waiting_;
+  pending_calls pending_;
   service service_;
   channel_cache channels_;
   outgoing_calls outgoing_;
--- a/test/claims/claim_asker_test.cc
+++ b/test/claims/claim_asker_test.cc
@@ -5,20 +5,20 @@
 namespace wisteriaflow::claims {
 namespace {
 
-class ClaimAskerTest : public ::testing::Test {
+class ClaimClientTest : public ::testing::Test {
  public:
   clock_reading now;
   const mono_time deadline = now.mono + std::chrono::seconds{1};
-  claim_asker asker{
+  claim_client client{
       {.request = {.executor = daemon_id("me"), .nonce = 1}, .deadline = deadline, .seed = 1}};
-  std::vector<asker_action> actions;
+  std::vector<claim_client_action> actions;
 
-  void give(const asker_event& event) { actions = asker.handle(event, now); }
+  void handle(const claim_client_event& event) { actions = client.handle(event, now); }
 
   void pass_until_due()
   {
-    now.mono = *asker.wake_at();
-    give(ask_tick{});
+    now.mono = *client.wake_at();
+    handle(claim_tick{});
   }
 
   template <typename action> const action* only_action() const
@@ -27,90 +27,90 @@
   }
 };
 
-TEST_F(ClaimAskerTest, DispatchesOnceWhateverComesTwice)
+TEST_F(ClaimClientTest, DispatchesOnceDespiteDuplicateReplies)
 {
-  give(ask_started{});
-  give(claim_reply{.result = claim_result::granted});
+  handle(claim_started{});
+  handle(claim_reply{.result = claim_result::granted});
   ASSERT_NE(only_action<dispatch_claimed>(), nullptr);
-  give(claim_reply{.result = claim_result::granted});
+  handle(claim_reply{.result = claim_result::granted});
   EXPECT_TRUE(actions.empty());
 }
 
-TEST_F(ClaimAskerTest, NeverDispatchesAfterTheDeadline)
+TEST_F(ClaimClientTest, NeverDispatchesAfterTheDeadline)
 {
-  give(ask_started{});
+  handle(claim_started{});
   now.mono = deadline;
-  give(claim_reply{.result = claim_result::granted});
+  handle(claim_reply{.result = claim_result::granted});
   const auto* refusal = only_action<refuse_claim>();
   ASSERT_NE(refusal, nullptr);
   EXPECT_TRUE(refusal->key_free);
-  EXPECT_FALSE(asker.dispatched());
+  EXPECT_FALSE(client.dispatched());
 }
 
-TEST_F(ClaimAskerTest, NeverDispatchesAfterItGaveUp)
+TEST_F(ClaimClientTest, NeverDispatchesAfterItGaveUp)
 {
-  give(ask_started{});
-  give(ask_cancelled{});
-  give(claim_reply{.result = claim_result::granted});
+  handle(claim_started{});
+  handle(claim_cancelled{});
+  handle(claim_reply{.result = claim_result::granted});
   EXPECT_TRUE(actions.empty());
-  EXPECT_FALSE(asker.dispatched());
+  EXPECT_FALSE(client.dispatched());
 }
 
-TEST_F(ClaimAskerTest, AsksAgainUnderTheSameNonceWhenTheAnswerIsLost)
+TEST_F(ClaimClientTest, RetriesUnderTheSameNonceWhenNoReplyArrives)
 {
-  give(ask_started{});
-  give(ask_lost{});
+  handle(claim_started{});
+  handle(claim_unanswered{});
   pass_until_due();
-  const auto* ask = only_action<ask_owner>();
-  ASSERT_NE(ask, nullptr);
-  EXPECT_EQ(ask->request.nonce, 1U);
+  const auto* claim = only_action<send_claim>();
+  ASSERT_NE(claim, nullptr);
+  EXPECT_EQ(claim->request.nonce, 1U);
 }
 
-TEST_F(ClaimAskerTest, FollowsAHintButNotInCircles)
+TEST_F(ClaimClientTest, FollowsAnOwnerHintButNotInALoop)
 {
-  give(ask_started{});
+  handle(claim_started{});
   const claim_reply hint{.result = claim_result::not_owner, .owner = daemon_id("b")};
-  int asks = 0;
-  for (give(hint); only_action<ask_owner>() != nullptr; give(hint)) {
-    ASSERT_LT(++asks, 10) << "it never pauses";
+  int claims_sent = 0;
+  for (handle(hint); only_action<send_claim>() != nullptr; handle(hint)) {
+    ASSERT_LT(++claims_sent, 10) << "it never backs off";
   }
-  EXPECT_GE(asks, 1);
+  EXPECT_GE(claims_sent, 1);
 }
 
-TEST_F(ClaimAskerTest, ReplacesAClaimThatItsExecutorDidNotRun)
+TEST_F(ClaimClientTest, ReplacesAClaimThatItsExecutorDidNotRun)
 {
-  give(ask_started{});
-  give(claim_reply{.result = claim_result::duplicate, .executor = daemon_id("b"), .nonce = 7});
+  handle(claim_started{});
+  handle(claim_reply{.result = claim_result::duplicate, .executor = daemon_id("b"), .nonce = 7});
   ASSERT_NE(only_action<query_executor>(), nullptr);
-  give(executor_answered{request_standing::not_run});
+  handle(executor_answered{execution_state::not_run});
   pass_until_due();
-  const auto* ask = only_action<ask_owner>();
-  ASSERT_NE(ask, nullptr);
-  EXPECT_EQ(ask->request.replaces_nonce, 7U);
+  const auto* claim = only_action<send_claim>();
+  ASSERT_NE(claim, nullptr);
+  EXPECT_EQ(claim->request.replaces_nonce, 7U);
 }
 
-TEST_F(ClaimAskerTest, ReportsUnknownIfTheHolderNeverAnswers)
+TEST_F(ClaimClientTest, ReportsUnknownIfTheHolderNeverAnswers)
 {
-  give(ask_started{});
-  give(claim_reply{.result = claim_result::duplicate, .executor = daemon_id("b"), .nonce = 7});
-  give(query_lost{});
+  handle(claim_started{});
+  handle(claim_reply{.result = claim_result::duplicate, .executor = daemon_id("b"), .nonce = 7});
+  handle(query_unanswered{});
   now.mono = deadline;
-  give(ask_tick{});
-  EXPECT_NE(only_action<report_unknown>(), nullptr);
+  handle(claim_tick{});
+  EXPECT_NE(only_action<report_outcome_unknown>(), nullptr);
 }
 
-TEST_F(ClaimAskerTest, ReportsUnknownForAKeyThatMayBeForgotten)
+TEST_F(ClaimClientTest, ReportsUnknownForAKeyThatMayBeForgotten)
 {
-  give(ask_started{});
-  give(claim_reply{.result = claim_result::too_old});
-  EXPECT_NE(only_action<report_unknown>(), nullptr);
+  handle(claim_started{});
+  handle(claim_reply{.result = claim_result::too_old});
+  EXPECT_NE(only_action<report_outcome_unknown>(), nullptr);
 }
 
-TEST_F(ClaimAskerTest, DoesNotCallAKeyFreeThatItKnowsNothingOf)
+TEST_F(ClaimClientTest, DoesNotReportAKeyAsFreeWithoutAReply)
 {
-  give(ask_started{});
+  handle(claim_started{});
   now.mono = deadline;
-  give(ask_tick{});
+  handle(claim_tick{});
   const auto* refusal = only_action<refuse_claim>();
   ASSERT_NE(refusal, nullptr);
   EXPECT_FALSE(refusal->key_free);
--- a/test/claims/claim_shard_owner_test.cc
+++ b/test/claims/claim_shard_owner_test.cc
@@ -13,7 +13,7 @@
 
 using std::chrono::milliseconds;
 
-// One or two owners over a fake store that answers at once, unless it is told to fail a call.
+// Two owners over a fake store that answers at once, except while `hold_calls` is set.
 class ClaimShardOwnerTest : public ::testing::Test {
  public:
   claim_shard_owner owner{{.self = daemon_id("a"), .settings = settings(), .seed = 1}};
@@ -21,7 +21,7 @@
   fake_claim_store store;
   clock_reading now{.wall = from_unix_ms(1'800'000'000'000)};
   std::vector<send_reply> replies;
-  std::vector<store_call> open; // calls that `hold_calls` keeps back
+  std::vector<store_call> open_calls; // calls that were held back by `hold_calls`
   bool hold_calls = false;
 
   static claim_settings settings()
@@ -29,7 +29,7 @@
     return {.max_tail_entries = 2, .merge_segments = 3, .max_pending = 4};
   }
 
-  void give(claim_shard_owner& to, const owner_event& event)
+  void handle(claim_shard_owner& to, const owner_event& event)
   {
     std::deque<owner_event> events{event};
     while (!events.empty()) {
@@ -37,7 +37,7 @@
         if (const auto* reply = std::get_if<send_reply>(&action)) {
           replies.push_back(*reply);
         } else if (const auto& call = std::get<store_call>(action); hold_calls) {
-          open.push_back(call);
+          open_calls.push_back(call);
         } else {
           events.emplace_back(store_answer{.id = call.id, .result = store.apply(call)});
         }
@@ -46,11 +46,11 @@
     }
   }
 
-  void pass(milliseconds time)
+  void advance_time(milliseconds time)
   {
     now.mono += time;
     now.wall += time;
-    give(owner, tick{});
+    handle(owner, tick{});
   }
 
   [[nodiscard]] claim_request request_of(std::uint64_t key, std::uint64_t nonce) const
@@ -62,232 +62,233 @@
             .nonce = nonce};
   }
 
-  // Asks, waits for a flush and returns the last reply.
-  claim_reply ask(claim_shard_owner& to, const claim_request& request)
+  // Sends a claim, advances to the next flush and returns the last reply.
+  claim_reply claim(claim_shard_owner& to, const claim_request& request)
   {
-    give(to, claim_asked{.token = request.nonce, .request = request});
+    handle(to, claim_received{.token = request.nonce, .request = request});
     now.mono += settings().flush_interval;
-    give(to, tick{});
+    handle(to, tick{});
     return replies.empty() ? claim_reply{} : replies.back().reply;
   }
 
-  void own() { give(owner, ownership_desired{true}); }
+  void take_ownership() { handle(owner, ownership_desired{true}); }
 
-  // Starts a claim whose update is on its way to the store.
+  // Starts a claim whose update has been sent to the store and not answered.
   void start_update(const claim_request& request)
   {
     now.mono += settings().flush_interval;
     hold_calls = true;
-    give(owner, claim_asked{.token = request.nonce, .request = request});
+    handle(owner, claim_received{.token = request.nonce, .request = request});
     hold_calls = false;
   }
 };
 
-TEST_F(ClaimShardOwnerTest, GrantsOnlyOnceTheUpdateHasLanded)
+TEST_F(ClaimShardOwnerTest, GrantsOnlyOnceTheUpdateIsStored)
 {
-  own();
+  take_ownership();
   start_update(request_of(1, 10));
-  ASSERT_EQ(open.size(), 1U);
-  EXPECT_TRUE(replies.empty()) << "granted before the update landed";
-  give(owner, store_answer{.id = open[0].id, .result = store.apply(open[0])});
+  ASSERT_EQ(open_calls.size(), 1U);
+  EXPECT_TRUE(replies.empty()) << "granted before the update was stored";
+  handle(owner, store_answer{.id = open_calls[0].id, .result = store.apply(open_calls[0])});
   ASSERT_EQ(replies.size(), 1U);
   EXPECT_EQ(replies[0].reply.result, claim_result::granted);
 }
 
-TEST_F(ClaimShardOwnerTest, PausesBetweenTakeoversThatAllMeetAConflict)
+TEST_F(ClaimShardOwnerTest, BacksOffBetweenTakeoversThatAllConflict)
 {
   hold_calls = true;
-  own();
-  give(owner, claim_asked{.token = 10, .request = request_of(1, 10)});
+  take_ownership();
+  handle(owner, claim_received{.token = 10, .request = request_of(1, 10)});
   int calls = 0;
   for (int step = 0; step < 40; ++step) {
-    for (const auto& c : std::exchange(open, {})) {
+    for (const auto& c : std::exchange(open_calls, {})) {
       ++calls;
       const bool reads = std::holds_alternative<read_tail>(c.operation);
-      give(owner,
-           store_answer{.id = c.id, .result = reads ? store_result(tail_value{}) : conflict{}});
+      handle(owner,
+             store_answer{.id = c.id, .result = reads ? store_result(tail_value{}) : conflict{}});
     }
-    pass(milliseconds(25));
+    advance_time(milliseconds(25));
   }
-  EXPECT_LE(calls, 12); // of a second; without a pause it is one in every step
-  ASSERT_EQ(replies.size(), 1U) << "the claim waits for a takeover that does not come";
+  EXPECT_LE(calls, 12); // in one second; without a backoff there is one in every step
+  ASSERT_EQ(replies.size(), 1U) << "the claim waits for a takeover that never succeeds";
   EXPECT_EQ(replies[0].reply.result, claim_result::unavailable);
 }
 
 TEST_F(ClaimShardOwnerTest, GrantsTheSameNonceAgain)
 {
-  own();
+  take_ownership();
   const auto request = request_of(1, 10);
-  EXPECT_EQ(ask(owner, request).result, claim_result::granted);
-  EXPECT_EQ(ask(owner, request).result, claim_result::granted);
+  EXPECT_EQ(claim(owner, request).result, claim_result::granted);
+  EXPECT_EQ(claim(owner, request).result, claim_result::granted);
 }
 
 TEST_F(ClaimShardOwnerTest, NamesTheHolderOfADuplicate)
 {
-  own();
-  ask(owner, request_of(1, 10));
+  take_ownership();
+  claim(owner, request_of(1, 10));
   const claim_reply expected{
       .result = claim_result::duplicate, .executor = daemon_id("x10"), .nonce = 10};
-  EXPECT_EQ(ask(owner, request_of(1, 11)), expected);
+  EXPECT_EQ(claim(owner, request_of(1, 11)), expected);
 }
 
 TEST_F(ClaimShardOwnerTest, RefusesAKeyWithAnotherBody)
 {
-  own();
-  ask(owner, request_of(1, 10));
+  take_ownership();
+  claim(owner, request_of(1, 10));
   auto other_body = request_of(1, 11);
   other_body.body_hash = 99;
-  EXPECT_EQ(ask(owner, other_body).result, claim_result::body_mismatch);
+  EXPECT_EQ(claim(owner, other_body).result, claim_result::body_mismatch);
 }
 
 TEST_F(ClaimShardOwnerTest, MovesAClaimThatWasNotRun)
 {
-  own();
-  ask(owner, request_of(1, 10));
+  take_ownership();
+  claim(owner, request_of(1, 10));
   auto replacing = request_of(1, 11);
   replacing.replaces_nonce = 10;
-  EXPECT_EQ(ask(owner, replacing).result, claim_result::granted);
-  EXPECT_EQ(ask(owner, request_of(1, 12)).nonce, 11U);
+  EXPECT_EQ(claim(owner, replacing).result, claim_result::granted);
+  EXPECT_EQ(claim(owner, request_of(1, 12)).nonce, 11U);
 }
 
 TEST_F(ClaimShardOwnerTest, RefusesAKeyOlderThanRetention)
 {
-  own();
+  take_ownership();
   auto old = request_of(1, 10);
   old.created = now.wall - settings().retention - milliseconds{1};
-  EXPECT_EQ(ask(owner, old).result, claim_result::too_old);
+  EXPECT_EQ(claim(owner, old).result, claim_result::too_old);
 }
 
-TEST_F(ClaimShardOwnerTest, RemembersThroughSegmentsMergesAndTakeover)
+TEST_F(ClaimShardOwnerTest, RemembersClaimsThroughSegmentsMergesAndTakeover)
 {
-  own();
+  take_ownership();
   const std::uint64_t keys = 40;
   for (std::uint64_t key = 1; key <= keys; ++key) {
-    ASSERT_EQ(ask(owner, request_of(key, 100 + key)).result, claim_result::granted) << key;
+    ASSERT_EQ(claim(owner, request_of(key, 100 + key)).result, claim_result::granted) << key;
   }
-  give(other, ownership_desired{true});
+  handle(other, ownership_desired{true});
   for (std::uint64_t key = 1; key <= keys; ++key) {
-    EXPECT_EQ(ask(other, request_of(key, 200 + key)).nonce, 100 + key) << "key " << key;
+    EXPECT_EQ(claim(other, request_of(key, 200 + key)).nonce, 100 + key) << "key " << key;
   }
   EXPECT_LE(store.tail(0)->segments.size(), 10U) << "segments are not merged";
 }
 
 TEST_F(ClaimShardOwnerTest, ForgetsSegmentsPastRetentionAndNeverGrantsTheirKeys)
 {
-  own();
+  take_ownership();
   const auto first = request_of(1, 10);
   for (std::uint64_t key = 1; key <= 4; ++key) {
-    ask(owner, request_of(key, 10 * key));
+    claim(owner, request_of(key, 10 * key));
   }
-  pass(settings().retention + settings().skew_margin + milliseconds{1});
-  ask(owner, request_of(5, 50));
-  ask(owner, request_of(6, 60));
-  ask(owner, request_of(7, 70));
+  advance_time(settings().retention + settings().skew_margin + milliseconds{1});
+  claim(owner, request_of(5, 50));
+  claim(owner, request_of(6, 60));
+  claim(owner, request_of(7, 70));
   EXPECT_LE(store.segments(), 1U) << "old segments are kept";
-  now.wall = first.created; // an owner whose clock runs far behind
-  EXPECT_EQ(ask(owner, first).result, claim_result::too_old);
+  now.wall = first.created; // an owner whose clock is far behind
+  EXPECT_EQ(claim(owner, first).result, claim_result::too_old);
 }
 
-TEST_F(ClaimShardOwnerTest, GrantsWhatLandedThoughTheAnswerWasLost)
+TEST_F(ClaimShardOwnerTest, GrantsAStoredClaimThoughTheAnswerWasLost)
 {
-  own();
+  take_ownership();
   start_update(request_of(1, 10));
-  store.apply(open[0]);
-  give(owner, store_answer{.id = open[0].id, .result = lost{}});
+  store.apply(open_calls[0]);
+  handle(owner, store_answer{.id = open_calls[0].id, .result = unanswered{}});
   ASSERT_EQ(replies.size(), 1U);
   EXPECT_EQ(replies[0].reply.result, claim_result::granted);
 }
 
-TEST_F(ClaimShardOwnerTest, SendsALostUpdateAgainRatherThanGiveItUp)
+TEST_F(ClaimShardOwnerTest, ResendsAnUnansweredUpdateRatherThanGivingItUp)
 {
-  own();
+  take_ownership();
   start_update(request_of(1, 10));
-  give(owner, store_answer{.id = open[0].id, .result = lost{}});
+  handle(owner, store_answer{.id = open_calls[0].id, .result = unanswered{}});
   ASSERT_EQ(replies.size(), 1U);
   EXPECT_EQ(replies[0].reply.result, claim_result::granted);
-  EXPECT_TRUE(std::holds_alternative<conflict>(store.apply(open[0]))) << "it landed twice";
+  EXPECT_TRUE(std::holds_alternative<conflict>(store.apply(open_calls[0])))
+      << "the update was stored twice";
 }
 
-TEST_F(ClaimShardOwnerTest, RefusesButNeverGrantsWhileALostUpdateMayStillLand)
+TEST_F(ClaimShardOwnerTest, RefusesButNeverGrantsWhileAnUnansweredUpdateMayStillBeStored)
 {
-  own();
+  take_ownership();
   start_update(request_of(1, 10));
   hold_calls = true;
-  give(owner, store_answer{.id = open[0].id, .result = lost{}});
+  handle(owner, store_answer{.id = open_calls[0].id, .result = unanswered{}});
   EXPECT_TRUE(replies.empty());
-  give(owner, store_answer{.id = open[1].id, .result = unavailable{}});
+  handle(owner, store_answer{.id = open_calls[1].id, .result = unavailable{}});
   ASSERT_EQ(replies.size(), 1U);
   const claim_reply refused{.result = claim_result::unavailable, .key_free = true};
   EXPECT_EQ(replies[0].reply, refused);
-  EXPECT_EQ(owner.standing(), ownership::settling);
+  EXPECT_EQ(owner.state(), ownership::settling);
 }
 
-TEST_F(ClaimShardOwnerTest, KeepsTheEntryOfARefusedClaimThatMayStillLand)
+TEST_F(ClaimShardOwnerTest, KeepsTheEntryOfARefusedClaimThatMayStillBeStored)
 {
-  own();
+  take_ownership();
   start_update(request_of(1, 10));
   hold_calls = true;
-  give(owner, store_answer{.id = open[0].id, .result = lost{}});
-  give(owner, store_answer{.id = open[1].id, .result = unavailable{}});
-  const auto reply = ask(owner, request_of(1, 20));
+  handle(owner, store_answer{.id = open_calls[0].id, .result = unanswered{}});
+  handle(owner, store_answer{.id = open_calls[1].id, .result = unavailable{}});
+  const auto reply = claim(owner, request_of(1, 20));
   EXPECT_EQ(reply.result, claim_result::duplicate);
   EXPECT_EQ(reply.nonce, 10U);
 }
 
-TEST_F(ClaimShardOwnerTest, SaysNothingMoreToARefusedClaimThatLands)
+TEST_F(ClaimShardOwnerTest, SendsNoSecondReplyToARefusedClaimThatIsStored)
 {
-  own();
+  take_ownership();
   start_update(request_of(1, 10));
   hold_calls = true;
-  store.apply(open[0]);
-  give(owner, store_answer{.id = open[0].id, .result = lost{}});
-  give(owner, store_answer{.id = open[1].id, .result = unavailable{}});
+  store.apply(open_calls[0]);
+  handle(owner, store_answer{.id = open_calls[0].id, .result = unanswered{}});
+  handle(owner, store_answer{.id = open_calls[1].id, .result = unavailable{}});
   ASSERT_EQ(replies.size(), 1U);
   hold_calls = false;
   now.mono += std::chrono::seconds(1);
-  give(owner, tick{});
-  EXPECT_EQ(owner.standing(), ownership::owning);
+  handle(owner, tick{});
+  EXPECT_EQ(owner.state(), ownership::owning);
   EXPECT_EQ(replies.size(), 1U);
 }
 
 TEST_F(ClaimShardOwnerTest, GrantsNothingNewAfterItWasTakenOver)
 {
-  own();
-  ask(owner, request_of(1, 10));
-  give(other, ownership_desired{true});
+  take_ownership();
+  claim(owner, request_of(1, 10));
+  handle(other, ownership_desired{true});
   const claim_reply expected{.result = claim_result::not_owner, .owner = daemon_id("b")};
-  EXPECT_EQ(ask(owner, request_of(2, 20)), expected);
+  EXPECT_EQ(claim(owner, request_of(2, 20)), expected);
 }
 
-TEST_F(ClaimShardOwnerTest, GrantsAClaimThatLandedBeforeTheTakeover)
+TEST_F(ClaimShardOwnerTest, GrantsAClaimThatWasStoredBeforeTheTakeover)
 {
-  own();
+  take_ownership();
   start_update(request_of(1, 10));
-  store.apply(open[0]);
-  give(other, ownership_desired{true});
-  give(owner, store_answer{.id = open[0].id, .result = lost{}});
+  store.apply(open_calls[0]);
+  handle(other, ownership_desired{true});
+  handle(owner, store_answer{.id = open_calls[0].id, .result = unanswered{}});
   ASSERT_EQ(replies.size(), 1U);
   EXPECT_EQ(replies[0].reply.result, claim_result::granted);
 }
 
 TEST_F(ClaimShardOwnerTest, RefusesAtOnceWhileTheStoreIsDown)
 {
-  own();
+  take_ownership();
   start_update(request_of(1, 10));
-  give(owner, store_answer{.id = open[0].id, .result = unavailable{}});
-  give(owner, claim_asked{.token = 2, .request = request_of(2, 20)});
+  handle(owner, store_answer{.id = open_calls[0].id, .result = unavailable{}});
+  handle(owner, claim_received{.token = 2, .request = request_of(2, 20)});
   ASSERT_EQ(replies.size(), 2U);
   const claim_reply expected{.result = claim_result::unavailable, .key_free = true};
   EXPECT_EQ(replies[0].reply, expected);
   EXPECT_EQ(replies[1].reply, expected);
 }
 
-TEST_F(ClaimShardOwnerTest, RefusesOneClaimMoreThanMayWait)
+TEST_F(ClaimShardOwnerTest, RefusesAClaimBeyondTheLimitOfPendingOnes)
 {
-  own();
+  take_ownership();
   start_update(request_of(1, 10));
   for (std::uint64_t key = 2; key <= 5; ++key) {
-    give(owner, claim_asked{.token = key, .request = request_of(key, 10 * key)});
+    handle(owner, claim_received{.token = key, .request = request_of(key, 10 * key)});
   }
   ASSERT_EQ(replies.size(), 1U);
   EXPECT_EQ(replies[0].token, 5U);
@@ -296,29 +297,29 @@
 
 TEST_F(ClaimShardOwnerTest, CountsTheKeysOfALostSegmentAsForgotten)
 {
-  own();
+  take_ownership();
   for (std::uint64_t key = 1; key <= 8; ++key) {
-    ask(owner, request_of(key, 10 * key));
+    claim(owner, request_of(key, 10 * key));
   }
   const auto tail = store.tail(0).value();
   for (const auto& segment : tail.segments) {
     store.erase_segment(0, segment.id);
   }
-  give(other, ownership_desired{true});
-  EXPECT_EQ(ask(other, request_of(1, 11)).result, claim_result::too_old);
+  handle(other, ownership_desired{true});
+  EXPECT_EQ(claim(other, request_of(1, 11)).result, claim_result::too_old);
 }
 
-TEST_F(ClaimShardOwnerTest, FinishesWhatItHasBeforeItReleases)
+TEST_F(ClaimShardOwnerTest, FinishesPendingClaimsBeforeItReleases)
 {
-  own();
+  take_ownership();
   start_update(request_of(1, 10));
-  give(owner, ownership_desired{false});
-  EXPECT_EQ(owner.standing(), ownership::releasing);
-  give(owner, claim_asked{.token = 2, .request = request_of(2, 20)});
+  handle(owner, ownership_desired{false});
+  EXPECT_EQ(owner.state(), ownership::releasing);
+  handle(owner, claim_received{.token = 2, .request = request_of(2, 20)});
   EXPECT_EQ(replies.back().reply.result, claim_result::not_owner);
-  give(owner, store_answer{.id = open[0].id, .result = store.apply(open[0])});
+  handle(owner, store_answer{.id = open_calls[0].id, .result = store.apply(open_calls[0])});
   EXPECT_EQ(replies.back().reply.result, claim_result::granted);
-  EXPECT_EQ(owner.standing(), ownership::not_owner);
+  EXPECT_EQ(owner.state(), ownership::not_owner);
 }
 
 TEST(ShardMapTest, MovesOnlyTheShardsOfADaemonThatLeaves)
--- a/test/claims/claims_property_test.cc
+++ b/test/claims/claims_property_test.cc
@@ -1,4 +1,4 @@
-// The real owners and askers under the actions of models/claims.pml, in random order.
+// Runs the real owners and clients through the actions of models/claims.pml in random order.
 
 #include <algorithm>
 #include <random>
@@ -13,20 +13,22 @@
 namespace wisteriaflow::claims {
 namespace {
 
-using step_list = std::vector<std::pair<world_step, std::size_t>>;
+using step_list = std::vector<std::pair<simulation_step, std::size_t>>;
 
-// Steps that move things on are likelier than faults, or nothing would ever be granted.
-constexpr std::array<int, world_steps> weights = {10, 40, 40, 3, 2, 40, 2, 3, 1, 2, 3, 1, 20, 1};
+// Steps that make progress have larger weights than faults, otherwise hardly any claim would be
+// granted.
+constexpr std::array<int, simulation_steps> weights = {10, 40, 40, 3, 2, 40, 2,
+                                                       3,  1,  2,  3, 1, 20, 1};
 
-world_step step_for(int roll)
+simulation_step step_for(int roll)
 {
-  for (int i = 0; i < world_steps; ++i) {
+  for (int i = 0; i < simulation_steps; ++i) {
     roll -= weights[static_cast<std::size_t>(i)];
     if (roll < 0) {
-      return static_cast<world_step>(i);
+      return static_cast<simulation_step>(i);
     }
   }
-  return world_step::pass_time;
+  return simulation_step::pass_time;
 }
 
 int total_weight()
@@ -45,7 +47,7 @@
                                  rc::gen::pair(step, rc::gen::inRange<std::size_t>(0, 40))));
 }
 
-int most_runs(const claims_world& world)
+int max_runs(const claims_simulation& world)
 {
   int most = 0;
   for (const auto& [key, runs] : world.runs) {
@@ -54,62 +56,62 @@
   return most;
 }
 
-RC_GTEST_PROP(ClaimsPropertyTest, RunsAKeyAtMostOnceAndKeepsItsPromises, ())
+RC_GTEST_PROP(ClaimsPropertyTest, RunsAKeyAtMostOnceAndNeverAfterReportingNotRun, ())
 {
-  claims_world world;
+  claims_simulation world;
   for (const auto& [step, n] : *any_steps()) {
-    world.take(step, n);
+    world.run_step(step, n);
   }
-  world.heal();
-  RC_ASSERT(most_runs(world) <= 1);
-  RC_ASSERT(world.broken_promises == 0);
+  world.end_faults();
+  RC_ASSERT(max_runs(world) <= 1);
+  RC_ASSERT(world.not_run_violations == 0);
 }
 
-RC_GTEST_PROP(ClaimsPropertyTest, ServesAFreshKeyOnceAllIsWellAgain, ())
+RC_GTEST_PROP(ClaimsPropertyTest, RunsANewKeyOnceAllFaultsHaveEnded, ())
 {
-  claims_world world;
+  claims_simulation world;
   for (const auto& [step, n] : *any_steps()) {
-    world.take(step, n);
+    world.run_step(step, n);
   }
-  world.heal();
-  const auto key = world.submit_fresh(1);
-  world.heal();
+  world.end_faults();
+  const auto key = world.submit_new_key(1);
+  world.end_faults();
   RC_ASSERT(world.runs[key] == 1);
 }
 
-// Random steps from `seed`; returns the most runs of one key.
-int most_runs_after(std::uint64_t seed, bool blind_writes)
+// Runs random steps from `seed` and returns the highest number of runs of one key.
+int max_runs_after(std::uint64_t seed, bool unconditional_writes)
 {
   std::mt19937_64 random(seed);
   std::uniform_int_distribution<int> rolls(0, total_weight() - 1);
   std::uniform_int_distribution<std::size_t> numbers(0, 39);
-  claims_world world;
-  world.store.blind_writes = blind_writes;
+  claims_simulation world;
+  world.store.unconditional_writes = unconditional_writes;
   const int steps = 600;
   for (int i = 0; i < steps; ++i) {
     const auto step = step_for(rolls(random));
-    world.take(step, numbers(random));
+    world.run_step(step, numbers(random));
   }
-  world.heal();
-  return most_runs(world);
+  world.end_faults();
+  return max_runs(world);
 }
 
-constexpr std::uint64_t control_worlds = 300;
+constexpr std::uint64_t control_simulations = 300;
 
-TEST(ClaimsControlTest, BlindWritesRunAKeyTwice)
+TEST(ClaimsControlTest, UnconditionalWritesRunAKeyTwice)
 {
   int doubled = 0;
-  for (std::uint64_t seed = 1; seed <= control_worlds; ++seed) {
-    doubled += most_runs_after(seed, true) > 1 ? 1 : 0;
+  for (std::uint64_t seed = 1; seed <= control_simulations; ++seed) {
+    doubled += max_runs_after(seed, true) > 1 ? 1 : 0;
   }
-  EXPECT_GT(doubled, 0) << "the random steps do not reach the fault that the fence stops";
+  EXPECT_GT(doubled, 0) << "the random steps never cause the fault that conditional writes prevent";
 }
 
 TEST(ClaimsControlTest, ConditionalWritesRunAKeyOnceUnderTheSameSteps)
 {
   int ran = 0;
-  for (std::uint64_t seed = 1; seed <= control_worlds; ++seed) {
-    const int most = most_runs_after(seed, false);
+  for (std::uint64_t seed = 1; seed <= control_simulations; ++seed) {
+    const int most = max_runs_after(seed, false);
     ran += most;
     EXPECT_LE(most, 1) << "with seed " << seed;
   }
--- a/test/claims/claims_world.h
+++ b/test/claims/claims_world.h
@@ -1,5 +1,5 @@
-// Several daemons' owners and askers of one shard over a fake store, with every message and call
-// in the hands of the test: late, lost, reordered, or never.
+// Several daemons' owners and claim clients of one shard over a fake store. The test controls every
+// message and store call, which may be late, lost, reordered or never delivered.
 
 #ifndef WISTERIAFLOW_TEST_CLAIMS_CLAIMS_WORLD_H_
 #define WISTERIAFLOW_TEST_CLAIMS_CLAIMS_WORLD_H_
@@ -17,87 +17,87 @@
 
 namespace wisteriaflow::claims {
 
-// What a step does; the same actions as in models/claims.pml.
-enum class world_step : std::uint8_t {
-  submit,         // a caller sends a key to a daemon
-  apply_call,     // a call reaches the store
-  answer_call,    // its answer reaches the daemon
-  lose_answer,    // the daemon gives up on a call, which may still reach the store
-  refuse_call,    // a call fails for certain
-  deliver,        // a message between daemons arrives
-  lose_message,   // or does not
-  want,           // a daemon comes to believe that it should own the shard
-  unwant,         // or that it should not
-  pause,          // a daemon stops
-  resume,         // and goes on
-  crash,          // a daemon starts anew with nothing
-  pass_time,      // a short while
-  pass_retention, // a long while
+// The effect of a step; the same actions as in models/claims.pml.
+enum class simulation_step : std::uint8_t {
+  submit,           // a caller sends a key to a daemon
+  apply_call,       // a call reaches the store
+  answer_call,      // its answer reaches the daemon
+  lose_answer,      // the daemon's call times out, but may still reach the store
+  refuse_call,      // a call fails without any effect
+  deliver,          // a message between daemons arrives
+  lose_message,     // a message between daemons is lost
+  desire_ownership, // a daemon's view says that it should own the shard
+  drop_ownership,   // a daemon's view says that it should not own it
+  pause,            // a daemon stops running
+  resume,           // a paused daemon continues
+  crash,            // a daemon restarts with no state
+  pass_time,        // a short time
+  pass_retention,   // half the retention time
 };
-inline constexpr int world_steps = 14;
+inline constexpr int simulation_steps = 14;
 
-class claims_world {
+class claims_simulation {
  public:
   static constexpr std::size_t daemons = 3;
   static constexpr std::size_t keys = 3;
 
   fake_claim_store store;
-  // Runs of each key.
+  // Number of runs of each key.
   std::map<std::size_t, int> runs;
-  // Keys run, or granted, after "not run" was said for that very claim.
-  int broken_promises = 0;
+  // Number of runs under a claim for which "not run" was reported.
+  int not_run_violations = 0;
 
-  claims_world()
+  claims_simulation()
   {
     for (std::size_t i = 0; i < daemons; ++i) {
       restart(i);
     }
   }
 
-  void take(world_step step, std::size_t n)
+  void run_step(simulation_step step, std::size_t n)
   {
     auto& daemon = daemons_[n % daemons];
     switch (step) {
-    case world_step::submit:
+    case simulation_step::submit:
       return submit(oldest_key_ + n % keys, (n / keys) % daemons);
-    case world_step::apply_call:
+    case simulation_step::apply_call:
       return apply_call(n);
-    case world_step::answer_call:
+    case simulation_step::answer_call:
       return answer_call(n);
-    case world_step::lose_answer:
-      return fail_call(n, lost{});
-    case world_step::refuse_call:
+    case simulation_step::lose_answer:
+      return fail_call(n, unanswered{});
+    case simulation_step::refuse_call:
       return refuse_call(n);
-    case world_step::deliver:
+    case simulation_step::deliver:
       return deliver(n);
-    case world_step::lose_message:
+    case simulation_step::lose_message:
       return lose_message(n);
-    case world_step::want:
-      return want(n % daemons, true);
-    case world_step::unwant:
-      return want(n % daemons, false);
-    case world_step::pause:
+    case simulation_step::desire_ownership:
+      return set_owner_desired(n % daemons, true);
+    case simulation_step::drop_ownership:
+      return set_owner_desired(n % daemons, false);
+    case simulation_step::pause:
       daemon.paused = true;
       return;
-    case world_step::resume:
+    case simulation_step::resume:
       daemon.paused = false;
       return;
-    case world_step::crash:
+    case simulation_step::crash:
       return restart(n % daemons);
-    case world_step::pass_time:
-      return pass(std::chrono::milliseconds{1 + 5 * n});
-    case world_step::pass_retention:
+    case simulation_step::pass_time:
+      return advance_time(std::chrono::milliseconds{1 + 5 * n});
+    case simulation_step::pass_retention:
       ++oldest_key_;
-      return pass(settings().retention / 2);
+      return advance_time(settings().retention / 2);
     }
   }
 
-  // Everything works again and one daemon should own the shard: lets all come to rest.
-  void heal()
+  // Ends all faults, makes one daemon the desired owner and runs until nothing is pending.
+  void end_faults()
   {
     for (std::size_t i = 0; i < daemons; ++i) {
       daemons_[i].paused = false;
-      want(i, i == 0);
+      set_owner_desired(i, i == 0);
     }
     const int rounds = 400;
     for (int round = 0; round < rounds; ++round) {
@@ -106,14 +106,14 @@
         answer_call(0);
         deliver(0);
       }
-      pass(std::chrono::milliseconds{50});
+      advance_time(std::chrono::milliseconds{50});
     }
   }
 
-  // Submits a key that was never used; returns its number.
-  std::size_t submit_fresh(std::size_t daemon)
+  // Submits a key that was never used and returns its number.
+  std::size_t submit_new_key(std::size_t daemon)
   {
-    const auto key = next_fresh_key_++;
+    const auto key = next_new_key_++;
     submit(key, daemon);
     return key;
   }
@@ -132,38 +132,38 @@
                           .created = created_.at(key),
                           .executor = id_of(daemon_index),
                           .nonce = nonce};
-    asker_options options{.request = std::move(request),
-                          .deadline = mono_ + std::chrono::seconds{2},
-                          .settings = settings(),
-                          .seed = nonce};
-    daemon.askers.emplace(nonce, claim_asker(std::move(options)));
-    tell(daemon_index, nonce, ask_started{});
+    claim_client_options options{.request = std::move(request),
+                                 .deadline = mono_ + std::chrono::seconds{2},
+                                 .settings = settings(),
+                                 .seed = nonce};
+    daemon.clients.emplace(nonce, claim_client(std::move(options)));
+    deliver_event(daemon_index, nonce, claim_started{});
   }
 
  private:
   struct daemon_state {
     bool paused = false;
     std::optional<claim_shard_owner> owner;
-    std::map<std::uint64_t, claim_asker> askers; // by nonce
-    std::uint64_t life = 0;
+    std::map<std::uint64_t, claim_client> clients; // by nonce
+    std::uint64_t restarts = 0;
   };
 
   struct open_call {
     std::size_t daemon = 0;
-    std::uint64_t life = 0;
+    std::uint64_t restarts = 0;
     store_call call;
     std::optional<store_result> result;
-    bool given_up = false;
+    bool reported_failed = false;
   };
 
   struct query {
     std::uint64_t nonce = 0;
   };
 
-  // A message to `to`, about the claim `nonce` of the daemon `asker`.
+  // A message to `to` about the claim `nonce` of the daemon `claimant`.
   struct message {
     std::size_t to = 0;
-    std::size_t asker = 0;
+    std::size_t claimant = 0;
     std::uint64_t nonce = 0;
     std::variant<claim_request, claim_reply, query, executor_answered> body;
   };
@@ -188,7 +188,8 @@
            std::chrono::duration_cast<std::chrono::milliseconds>(mono_.time_since_epoch());
   }
 
-  // Daemons' wall clocks differ by far more than the margin: safety must not rest on them.
+  // The daemons' wall clocks differ by far more than skew_margin, because safety must not depend on
+  // them.
   [[nodiscard]] clock_reading clock_of(std::size_t daemon) const
   {
     const std::chrono::seconds skew{20 * (static_cast<int>(daemon) - 1)};
@@ -198,14 +199,14 @@
   void restart(std::size_t index)
   {
     auto& daemon = daemons_[index];
-    daemon.askers.clear();
+    daemon.clients.clear();
     daemon.owner.emplace(
         owner_options{.self = id_of(index), .settings = settings(), .seed = ++last_seed_});
-    ++daemon.life;
+    ++daemon.restarts;
     daemon.paused = false;
   }
 
-  void pass(std::chrono::milliseconds time)
+  void advance_time(std::chrono::milliseconds time)
   {
     mono_ += time;
     for (std::size_t i = 0; i < daemons; ++i) {
@@ -213,24 +214,24 @@
         continue;
       }
       act(i, daemons_[i].owner->handle(tick{}, clock_of(i)));
-      for (auto& [nonce, asker] : daemons_[i].askers) {
-        act(i, nonce, asker.handle(ask_tick{}, clock_of(i)));
+      for (auto& [nonce, client] : daemons_[i].clients) {
+        act(i, nonce, client.handle(claim_tick{}, clock_of(i)));
       }
     }
   }
 
-  void want(std::size_t index, bool wanted)
+  void set_owner_desired(std::size_t index, bool desired)
   {
     if (!daemons_[index].paused) {
-      act(index, daemons_[index].owner->handle(ownership_desired{wanted}, clock_of(index)));
-      wanted_[index] = wanted;
+      act(index, daemons_[index].owner->handle(ownership_desired{desired}, clock_of(index)));
+      owner_desired_[index] = desired;
     }
   }
 
-  void tell(std::size_t index, std::uint64_t nonce, const asker_event& event)
+  void deliver_event(std::size_t index, std::uint64_t nonce, const claim_client_event& event)
   {
-    const auto it = daemons_[index].askers.find(nonce);
-    if (it != daemons_[index].askers.end()) {
+    const auto it = daemons_[index].clients.find(nonce);
+    if (it != daemons_[index].clients.end()) {
       act(index, nonce, it->second.handle(event, clock_of(index)));
     }
   }
@@ -239,48 +240,50 @@
   {
     for (const auto& action : actions) {
       if (const auto* call = std::get_if<store_call>(&action)) {
-        calls_.push_back({.daemon = index, .life = daemons_[index].life, .call = *call});
+        calls_.push_back({.daemon = index, .restarts = daemons_[index].restarts, .call = *call});
       } else {
         const auto& answer = std::get<send_reply>(action);
-        auto claim = asked_.at(answer.token);
-        messages_.push_back(
-            {.to = claim.asker, .asker = claim.asker, .nonce = claim.nonce, .body = answer.reply});
+        auto claim = received_claims_.at(answer.token);
+        messages_.push_back({.to = claim.claimant,
+                             .claimant = claim.claimant,
+                             .nonce = claim.nonce,
+                             .body = answer.reply});
       }
     }
   }
 
-  void act(std::size_t index, std::uint64_t nonce, const std::vector<asker_action>& actions)
+  void act(std::size_t index, std::uint64_t nonce, const std::vector<claim_client_action>& actions)
   {
     for (const auto& action : actions) {
       std::visit([&](const auto& a) { act_one(index, nonce, a); }, action);
     }
   }
 
-  void act_one(std::size_t index, std::uint64_t nonce, const ask_owner& ask)
+  void act_one(std::size_t index, std::uint64_t nonce, const send_claim& action)
   {
-    const auto to = ask.owner.empty() ? believed_owner() : index_of(ask.owner);
-    messages_.push_back({.to = to, .asker = index, .nonce = nonce, .body = ask.request});
+    const auto to = action.owner.empty() ? expected_owner() : index_of(action.owner);
+    messages_.push_back({.to = to, .claimant = index, .nonce = nonce, .body = action.request});
   }
 
-  void act_one(std::size_t index, std::uint64_t nonce, const query_executor& ask)
+  void act_one(std::size_t index, std::uint64_t nonce, const query_executor& action)
   {
-    messages_.push_back({.to = index_of(ask.executor),
-                         .asker = index,
+    messages_.push_back({.to = index_of(action.executor),
+                         .claimant = index,
                          .nonce = nonce,
-                         .body = query{.nonce = ask.nonce}});
+                         .body = query{.nonce = action.nonce}});
   }
 
   void act_one(std::size_t /*index*/, std::uint64_t nonce, const dispatch_claimed& /*action*/)
   {
     ++runs[key_of_.at(nonce)];
-    if (said_not_run_.contains(nonce)) {
-      ++broken_promises;
+    if (reported_not_run_.contains(nonce)) {
+      ++not_run_violations;
     }
   }
 
   void act_one(std::size_t /*index*/, std::uint64_t nonce, const refuse_claim& /*action*/)
   {
-    said_not_run_.insert(nonce);
+    reported_not_run_.insert(nonce);
   }
 
   template <typename action>
@@ -288,10 +291,10 @@
   {
   }
 
-  [[nodiscard]] std::size_t believed_owner() const
+  [[nodiscard]] std::size_t expected_owner() const
   {
-    const auto it = std::find(wanted_.begin(), wanted_.end(), true);
-    return it == wanted_.end() ? 0 : static_cast<std::size_t>(it - wanted_.begin());
+    const auto it = std::find(owner_desired_.begin(), owner_desired_.end(), true);
+    return it == owner_desired_.end() ? 0 : static_cast<std::size_t>(it - owner_desired_.begin());
   }
 
   void apply_call(std::size_t n)
@@ -315,15 +318,15 @@
     }
     const auto call = *it;
     calls_.erase(it);
-    if (!call.given_up) {
-      hand_back(call, *call.result);
+    if (!call.reported_failed) {
+      answer_owner(call, *call.result);
     }
   }
 
-  void hand_back(const open_call& call, const store_result& result)
+  void answer_owner(const open_call& call, const store_result& result)
   {
     auto& daemon = daemons_[call.daemon];
-    if (call.life == daemon.life) {
+    if (call.restarts == daemon.restarts) {
       const store_answer answer{.id = call.call.id, .result = result};
       act(call.daemon, daemon.owner->handle(answer, clock_of(call.daemon)));
     }
@@ -335,14 +338,14 @@
       return;
     }
     auto& call = calls_[n % calls_.size()];
-    if (call.given_up || daemons_[call.daemon].paused) {
+    if (call.reported_failed || daemons_[call.daemon].paused) {
       return;
     }
-    call.given_up = true;
+    call.reported_failed = true;
     const bool is_read = std::holds_alternative<read_tail>(call.call.operation) ||
                          std::holds_alternative<read_segment>(call.call.operation);
     const auto copy = call;
-    hand_back(copy, is_read ? store_result(unavailable{}) : result);
+    answer_owner(copy, is_read ? store_result(unavailable{}) : result);
   }
 
   void refuse_call(std::size_t n)
@@ -351,12 +354,12 @@
       return;
     }
     const auto it = calls_.begin() + static_cast<std::ptrdiff_t>(n % calls_.size());
-    if (it->result || it->given_up || daemons_[it->daemon].paused) {
+    if (it->result || it->reported_failed || daemons_[it->daemon].paused) {
       return;
     }
     const auto call = *it;
     calls_.erase(it);
-    hand_back(call, unavailable{});
+    answer_owner(call, unavailable{});
   }
 
   void deliver(std::size_t n)
@@ -379,66 +382,69 @@
       return;
     }
     const auto it = messages_.begin() + static_cast<std::ptrdiff_t>(n % messages_.size());
-    const auto gone = *it;
-    const bool was_query = std::holds_alternative<query>(gone.body) ||
-                           std::holds_alternative<executor_answered>(gone.body);
-    if (daemons_[gone.asker].paused) {
+    const auto dropped = *it;
+    const bool was_query = std::holds_alternative<query>(dropped.body) ||
+                           std::holds_alternative<executor_answered>(dropped.body);
+    if (daemons_[dropped.claimant].paused) {
       return;
     }
     messages_.erase(it);
-    tell(gone.asker, gone.nonce, was_query ? asker_event(query_lost{}) : asker_event(ask_lost{}));
+    deliver_event(dropped.claimant, dropped.nonce,
+                  was_query ? claim_client_event(query_unanswered{})
+                            : claim_client_event(claim_unanswered{}));
   }
 
   void receive(const message& arrived, const claim_request& request)
   {
     const auto token = ++last_token_;
-    asked_[token] = arrived;
-    const claim_asked asked{.token = token, .request = request};
-    act(arrived.to, daemons_[arrived.to].owner->handle(asked, clock_of(arrived.to)));
+    received_claims_[token] = arrived;
+    const claim_received received{.token = token, .request = request};
+    act(arrived.to, daemons_[arrived.to].owner->handle(received, clock_of(arrived.to)));
   }
 
   void receive(const message& arrived, const claim_reply& reply)
   {
-    tell(arrived.to, arrived.nonce, reply);
+    deliver_event(arrived.to, arrived.nonce, reply);
   }
 
   void receive(const message& arrived, const query& question)
   {
-    const auto& askers = daemons_[arrived.to].askers;
-    const auto it = askers.find(question.nonce);
-    auto standing = request_standing::outcome_unknown;
-    if (it != askers.end()) {
-      standing = it->second.finished() && !it->second.dispatched() ? request_standing::not_run
-                                                                   : request_standing::in_flight;
+    const auto& clients = daemons_[arrived.to].clients;
+    const auto it = clients.find(question.nonce);
+    auto state = execution_state::outcome_unknown;
+    if (it != clients.end()) {
+      state = it->second.finished() && !it->second.dispatched() ? execution_state::not_run
+                                                                : execution_state::in_flight;
     }
-    if (standing == request_standing::not_run) {
-      said_not_run_.insert(question.nonce);
+    if (state == execution_state::not_run) {
+      reported_not_run_.insert(question.nonce);
     }
-    messages_.push_back({.to = arrived.asker,
-                         .asker = arrived.asker,
+    messages_.push_back({.to = arrived.claimant,
+                         .claimant = arrived.claimant,
                          .nonce = arrived.nonce,
-                         .body = executor_answered{.standing = standing}});
+                         .body = executor_answered{.state = state}});
   }
 
   void receive(const message& arrived, const executor_answered& answer)
   {
-    tell(arrived.to, arrived.nonce, answer);
+    deliver_event(arrived.to, arrived.nonce, answer);
   }
 
   mono_time mono_;
   std::array<daemon_state, daemons> daemons_;
-  std::array<bool, daemons> wanted_{};
+  std::array<bool, daemons> owner_desired_{};
   std::vector<open_call> calls_;
   std::vector<message> messages_;
-  std::map<std::uint64_t, message> asked_; // by token
+  std::map<std::uint64_t, message> received_claims_; // by token
   std::map<std::uint64_t, std::size_t> key_of_;
   std::map<std::size_t, wall_time> created_;
-  std::set<std::uint64_t> said_not_run_;
+  std::set<std::uint64_t> reported_not_run_;
   std::uint64_t last_nonce_ = 0;
   std::uint64_t last_token_ = 0;
   std::uint64_t last_seed_ = 0;
-  std::size_t oldest_key_ = 0; // callers send a few keys at a time, some for longer than they live
-  std::size_t next_fresh_key_ = 1'000'000;
+  // Callers use a few keys at a time, some of them for longer than the retention.
+  std::size_t oldest_key_ = 0;
+  std::size_t next_new_key_ = 1'000'000;
 };
 
 } // namespace wisteriaflow::claims
