--- a/test/claims/fake_claim_store.h
+++ b/test/claims/fake_claim_store.h
@@ -1,4 +1,4 @@
-// The object store as one shard's owner sees it, in memory and by hand.
+// An in-memory object store with the operations that a shard's owner uses.
 
 #ifndef WISTERIAFLOW_TEST_CLAIMS_FAKE_CLAIM_STORE_H_
 #define WISTERIAFLOW_TEST_CLAIMS_FAKE_CLAIM_STORE_H_
@@ -17,10 +17,10 @@
 
 class fake_claim_store {
  public:
-  // Turns the guard off: updates land whatever the version is.
-  bool blind_writes = false;
+  // Disables the version check: updates succeed whatever the version is.
+  bool unconditional_writes = false;
 
-  // Calls and bytes seen, for the bench.
+  // Calls and bytes received, for the benchmark.
   std::uint64_t writes = 0;
   std::uint64_t reads = 0;
   std::uint64_t bytes_written = 0;
@@ -66,7 +66,7 @@
   store_result apply_one(std::uint32_t shard, const update_tail& op)
   {
     auto& object = objects_[tail_name(shard)];
-    if (!blind_writes && object.version != op.expected_version) {
+    if (!unconditional_writes && object.version != op.expected_version) {
       return conflict{};
     }
     object = {.version = ++version_, .document = written_document(encode_tail(op.tail))};
--- a/test/claims/request_key_test.cc
+++ b/test/claims/request_key_test.cc
@@ -6,7 +6,7 @@
 namespace wisteriaflow::claims {
 namespace {
 
-// The UUID of RFC 9562's example for version 7.
+// The example UUID for version 7 in RFC 9562.
 constexpr auto example = "017F22E2-79B0-7CC3-98C4-DC0C0C07398F";
 const wall_time example_time = from_unix_ms(0x017F22E279B0);
 
--- a/test/claims/tail_codec_test.cc
+++ b/test/claims/tail_codec_test.cc
@@ -32,7 +32,7 @@
   return tail;
 }
 
-RC_GTEST_PROP(TailCodecTest, ReadsBackWhatItWroteAsText,
+RC_GTEST_PROP(TailCodecTest, DecodesWhatItEncodedAsText,
               (const std::vector<std::uint64_t>& numbers))
 {
   const auto tail = tail_of(numbers);
--- a/test/membership/fixtures.h
+++ b/test/membership/fixtures.h
@@ -1,4 +1,4 @@
-// Members and times for the tests of this package.
+// Members, keys and times for the membership tests.
 
 #ifndef WISTERIAFLOW_TEST_MEMBERSHIP_FIXTURES_H_
 #define WISTERIAFLOW_TEST_MEMBERSHIP_FIXTURES_H_
@@ -14,7 +14,7 @@
 
 namespace wisteriaflow::membership {
 
-// The clocks `ms` after the tests' epoch.
+// Returns the clocks `ms` after the tests' epoch.
 inline clock_reading at(std::int64_t ms)
 {
   constexpr std::int64_t epoch_ms = 1'700'000'000'000;
--- a/test/membership/heartbeat_board_test.cc
+++ b/test/membership/heartbeat_board_test.cc
@@ -6,31 +6,31 @@
 namespace wisteriaflow::membership::internal {
 namespace {
 
-TEST(HeartbeatBoardTest, SendsEachOnAsOftenAsAsked)
+TEST(HeartbeatQueueTest, SendsEachHeartbeatAsOftenAsConfigured)
 {
-  heartbeat_board board({.sends = 2});
-  board.add({.hash = 7, .counter = 3}, at(0).mono);
-  EXPECT_EQ(board.take(at(1).mono).size(), 1U);
-  EXPECT_EQ(board.take(at(2).mono).size(), 1U);
-  EXPECT_TRUE(board.take(at(3).mono).empty());
+  heartbeat_queue queue({.max_sends = 2});
+  queue.add({.hash = 7, .counter = 3}, at(0).mono);
+  EXPECT_EQ(queue.take(at(1).mono).size(), 1U);
+  EXPECT_EQ(queue.take(at(2).mono).size(), 1U);
+  EXPECT_TRUE(queue.take(at(3).mono).empty());
 }
 
-TEST(HeartbeatBoardTest, SendsThoseFirstThatWereSentLeast)
+TEST(HeartbeatQueueTest, SendsTheLeastSentHeartbeatsFirst)
 {
-  heartbeat_board board({.max_heartbeats = 1, .sends = 4});
-  board.add({.hash = 7, .counter = 3}, at(0).mono);
-  board.take(at(1).mono);
-  board.add({.hash = 8, .counter = 3}, at(1).mono);
-  const auto beats = board.take(at(2).mono);
+  heartbeat_queue queue({.max_heartbeats = 1, .max_sends = 4});
+  queue.add({.hash = 7, .counter = 3}, at(0).mono);
+  queue.take(at(1).mono);
+  queue.add({.hash = 8, .counter = 3}, at(1).mono);
+  const auto beats = queue.take(at(2).mono);
   ASSERT_EQ(beats.size(), 1U);
   EXPECT_EQ(beats[0].hash, 8U);
 }
 
-TEST(HeartbeatBoardTest, DropsWhatHasWaitedTooLong)
+TEST(HeartbeatQueueTest, DropsHeartbeatsPastTheirMaximumAge)
 {
-  heartbeat_board board({});
-  board.add({.hash = 7, .counter = 3}, at(0).mono);
-  EXPECT_TRUE(board.take(at(5000).mono).empty());
+  heartbeat_queue queue({});
+  queue.add({.hash = 7, .counter = 3}, at(0).mono);
+  EXPECT_TRUE(queue.take(at(5000).mono).empty());
 }
 
 } // namespace
--- a/test/membership/member_test.cc
+++ b/test/membership/member_test.cc
@@ -9,8 +9,8 @@
 namespace wisteriaflow::membership {
 namespace {
 
-// Few values for each part, so that ties are common.
-member any_member()
+// Few values for each field, so that ties are frequent.
+member random_member()
 {
   member m{.key = endpoint_key("e")};
   m.incarnation = *rc::gen::inRange<std::uint64_t>(0, 3);
@@ -27,36 +27,36 @@
 
 RC_GTEST_PROP(MemberTest, JoinIsCommutative, ())
 {
-  const member a = any_member();
-  const member b = any_member();
+  const member a = random_member();
+  const member b = random_member();
   RC_ASSERT(join(a, b) == join(b, a));
 }
 
 RC_GTEST_PROP(MemberTest, JoinIsAssociative, ())
 {
-  const member a = any_member();
-  const member b = any_member();
-  const member c = any_member();
+  const member a = random_member();
+  const member b = random_member();
+  const member c = random_member();
   RC_ASSERT(join(join(a, b), c) == join(a, join(b, c)));
 }
 
 RC_GTEST_PROP(MemberTest, JoinIsIdempotent, ())
 {
-  const member a = any_member();
-  const member b = any_member();
+  const member a = random_member();
+  const member b = random_member();
   RC_ASSERT(join(a, a) == a);
   RC_ASSERT(join(join(a, b), b) == join(a, b));
 }
 
 RC_GTEST_PROP(MemberTest, JoinNeverRevivesWithinAnIncarnation, ())
 {
-  const member a = any_member();
-  const member b = any_member();
+  const member a = random_member();
+  const member b = random_member();
   const member joined = join(a, b);
   RC_ASSERT(std::pair(joined.incarnation, joined.state) >= std::pair(a.incarnation, a.state));
 }
 
-TEST(MemberTest, ANoticeWithoutAttributesKeepsThoseKnown)
+TEST(MemberTest, ANoticeWithoutAttributesKeepsTheKnownOnes)
 {
   const auto known = endpoint_member("e");
   const auto notice = with_state(without_attributes(known), member_state::leaving);
--- a/test/membership/news_board_test.cc
+++ b/test/membership/news_board_test.cc
@@ -6,61 +6,61 @@
 namespace wisteriaflow::membership::internal {
 namespace {
 
-// A board over a view that knows the live daemon "d2" and the leaving endpoint "e1".
-class news_board_test : public testing::Test {
+// A queue for a view that contains the live daemon "d2" and the leaving endpoint "e1".
+class update_queue_test : public testing::Test {
  protected:
-  news_board_test()
+  update_queue_test()
   {
     view_.apply(daemon_member("d2"), at(0));
     view_.apply(with_state(endpoint_member("e1"), member_state::leaving), at(0));
   }
 
-  void add(const member_key& key) { board_.add(*view_.find(key)); }
+  void add(const member_key& key) { queue_.add(*view_.find(key)); }
 
   membership_view view_ = view_of("d1");
-  news_board board_{{.max_records = 2, .urgent_pushes = 2}, view_};
+  update_queue queue_{{.max_records = 2, .urgent_pushes = 2}, view_};
 };
 
-using NewsBoardTest = news_board_test; // NOLINT(readability-identifier-naming)
+using UpdateQueueTest = update_queue_test; // NOLINT(readability-identifier-naming)
 
-TEST_F(NewsBoardTest, PushesALeavingMemberAsOftenAsAsked)
+TEST_F(UpdateQueueTest, PushesALeavingMemberAsOftenAsConfigured)
 {
   add(endpoint_key("e1"));
-  EXPECT_EQ(board_.take_urgent(4).size(), 1U);
-  EXPECT_EQ(board_.take_urgent(4).size(), 1U);
-  EXPECT_FALSE(board_.has_urgent());
+  EXPECT_EQ(queue_.take_urgent(4).size(), 1U);
+  EXPECT_EQ(queue_.take_urgent(4).size(), 1U);
+  EXPECT_FALSE(queue_.has_urgent());
 }
 
-TEST_F(NewsBoardTest, ALiveMemberIsNotUrgent)
+TEST_F(UpdateQueueTest, ALiveMemberIsNotUrgent)
 {
   add(daemon_key("d2"));
-  EXPECT_FALSE(board_.has_urgent());
-  EXPECT_EQ(board_.take().size(), 1U);
+  EXPECT_FALSE(queue_.has_urgent());
+  EXPECT_EQ(queue_.take().size(), 1U);
 }
 
-TEST_F(NewsBoardTest, ALeavingMemberTravelsWithoutItsAttributes)
+TEST_F(UpdateQueueTest, ALeavingMemberIsSentWithoutItsAttributes)
 {
   add(endpoint_key("e1"));
-  const auto records = board_.take();
+  const auto records = queue_.take();
   ASSERT_EQ(records.size(), 1U);
   EXPECT_EQ(records[0].attributes_revision, 0U);
 }
 
-TEST_F(NewsBoardTest, EndsNewsThatWasSentOftenEnough)
+TEST_F(UpdateQueueTest, RemovesAnUpdateThatWasSentOftenEnough)
 {
   add(daemon_key("d2"));
   int sends = 0;
-  while (!board_.take().empty()) {
+  while (!queue_.take().empty()) {
     ++sends;
   }
   EXPECT_EQ(sends, 3);
 }
 
-TEST_F(NewsBoardTest, ARemovedMemberIsNoLongerUrgent)
+TEST_F(UpdateQueueTest, ARemovedMemberIsNoLongerUrgent)
 {
   add(endpoint_key("e1"));
-  board_.remove(endpoint_key("e1"));
-  EXPECT_FALSE(board_.has_urgent());
+  queue_.remove(endpoint_key("e1"));
+  EXPECT_FALSE(queue_.has_urgent());
 }
 
 } // namespace
--- a/test/membership/subsets_test.cc
+++ b/test/membership/subsets_test.cc
@@ -36,19 +36,19 @@
 
 assignment assign(const std::vector<member>& daemons, const std::vector<member>& endpoints)
 {
-  assignment held;
+  assignment subsets;
   for (const member& d : daemons) {
     const auto subset =
         subset_of(daemon_id{d.key.id}, pointers_to(daemons), pointers_to(endpoints));
-    held[d.key.id] = {subset.begin(), subset.end()};
+    subsets[d.key.id] = {subset.begin(), subset.end()};
   }
-  return held;
+  return subsets;
 }
 
-std::map<endpoint_id, int> holders_in(const assignment& held)
+std::map<endpoint_id, int> holders_in(const assignment& subsets)
 {
   std::map<endpoint_id, int> holders;
-  for (const auto& [daemon, subset] : held) {
+  for (const auto& [daemon, subset] : subsets) {
     for (const auto& e : subset) {
       ++holders[e];
     }
@@ -58,8 +58,8 @@
 
 TEST(SubsetsTest, ASmallFleetIsReachedWhole)
 {
-  const auto held = assign(daemons_numbered(7), endpoints_numbered(22));
-  for (const auto& [daemon, subset] : held) {
+  const auto subsets = assign(daemons_numbered(7), endpoints_numbered(22));
+  for (const auto& [daemon, subset] : subsets) {
     EXPECT_EQ(subset.size(), 22U) << daemon;
   }
 }
@@ -75,8 +75,8 @@
 
 TEST(SubsetsTest, EveryDaemonHoldsEndpointsAlsoWithManyDaemons)
 {
-  const auto held = assign(daemons_numbered(300), endpoints_numbered(70));
-  for (const auto& [daemon, subset] : held) {
+  const auto subsets = assign(daemons_numbered(300), endpoints_numbered(70));
+  for (const auto& [daemon, subset] : subsets) {
     EXPECT_GE(subset.size(), 16U) << daemon;
   }
 }
--- a/test/membership/view_test.cc
+++ b/test/membership/view_test.cc
@@ -10,7 +10,7 @@
 namespace wisteriaflow::membership {
 namespace {
 
-bool any(const member&)
+bool accept_any(const member&)
 {
   return true;
 }
@@ -28,7 +28,7 @@
   const std::vector<member> list = {endpoint_member("e1")};
   view.apply_list(list, at(0));
   EXPECT_TRUE(view.is_routable(endpoint_id{"e1"}));
-  EXPECT_EQ(view.live_endpoints(any).size(), 1U);
+  EXPECT_EQ(view.live_endpoints(accept_any).size(), 1U);
 }
 
 TEST(ViewTest, TheLaggingListDoesNotReviveALeavingEndpoint)
@@ -36,7 +36,7 @@
   auto view = view_of("d1");
   const std::vector<member> list = {endpoint_member("e1")};
   view.apply_list(list, at(0));
-  view.announce_leaving(endpoint_key("e1"), at(30'000).wall, at(1));
+  view.mark_leaving(endpoint_key("e1"), at(30'000).wall, at(1));
   view.apply_list(list, at(2));
   EXPECT_FALSE(view.is_routable(endpoint_id{"e1"}));
 }
@@ -44,7 +44,7 @@
 TEST(ViewTest, ANoticeThatComesBeforeTheEndpointIsRemembered)
 {
   auto view = view_of("d1");
-  view.announce_leaving(endpoint_key("e1"), std::nullopt, at(0));
+  view.mark_leaving(endpoint_key("e1"), std::nullopt, at(0));
   const std::vector<member> list = {endpoint_member("e1")};
   view.apply_list(list, at(1));
   EXPECT_FALSE(view.is_routable(endpoint_id{"e1"}));
@@ -55,7 +55,7 @@
   auto view = view_of("d1");
   const std::vector<member> list = {endpoint_member("e1")};
   view.apply_list(list, at(0));
-  view.announce_leaving(endpoint_key("e1"), at(1000).wall, at(1));
+  view.mark_leaving(endpoint_key("e1"), at(1000).wall, at(1));
   view.tick(at(10'000));
   view.tick(at(3'600'000));
   view.apply_list(list, at(3'600'001));
@@ -66,16 +66,16 @@
 {
   auto view = view_of("d1");
   view.apply(endpoint_member("e1"), at(0));
-  view.announce_leaving(endpoint_key("e1"), at(1000).wall, at(0));
+  view.mark_leaving(endpoint_key("e1"), at(1000).wall, at(0));
   view.tick(at(6000));
   EXPECT_EQ(view.find(endpoint_key("e1"))->state, member_state::gone);
 }
 
-TEST(ViewTest, ALeavingMemberWithoutAReclaimTimeIsGoneInTheEnd)
+TEST(ViewTest, ALeavingMemberWithoutAReclaimTimeIsGoneAfterALimit)
 {
   auto view = view_of("d1");
   view.apply(endpoint_member("e1"), at(0));
-  view.announce_leaving(endpoint_key("e1"), std::nullopt, at(0));
+  view.mark_leaving(endpoint_key("e1"), std::nullopt, at(0));
   view.tick(at(300'000));
   EXPECT_EQ(view.find(endpoint_key("e1"))->state, member_state::gone);
 }
@@ -88,7 +88,7 @@
   EXPECT_EQ(view.find(endpoint_key("e1")), nullptr);
 }
 
-TEST(ViewTest, AForgottenMemberIsNotBroughtBackByALaterPeer)
+TEST(ViewTest, AForgottenMemberIsNotBroughtBackByAPeerThatForgetsLater)
 {
   auto view = view_of("d1");
   auto gone = with_state(endpoint_member("e1"), member_state::gone);
@@ -97,7 +97,7 @@
   EXPECT_EQ(view.find(endpoint_key("e1")), nullptr);
 }
 
-TEST(ViewTest, AnEndpointMissingFromTheListGoes)
+TEST(ViewTest, AnEndpointMissingFromTheListIsGone)
 {
   auto view = view_of("d1");
   view.apply(endpoint_member("e1"), at(0));
@@ -124,7 +124,7 @@
   EXPECT_TRUE(view.is_routable(endpoint_id{"e1"}));
 }
 
-TEST(ViewTest, AnUnreachableEndpointIsAnOwnOpinionAndRecoversByProbe)
+TEST(ViewTest, AnUnreachableEndpointIsALocalObservationAndRecoversByProbe)
 {
   auto view = view_of("d1");
   view.apply(endpoint_member("e1"), at(0));
@@ -133,12 +133,12 @@
     view.connect_failed(endpoint_key("e1"), at(1));
   }
   EXPECT_FALSE(view.is_routable(endpoint_id{"e1"}));
-  EXPECT_EQ(view.version(), version) << "an opinion would be gossiped";
+  EXPECT_EQ(view.version(), version) << "a local observation would be gossiped";
   view.connect_succeeded(endpoint_key("e1"), at(2));
   EXPECT_TRUE(view.is_routable(endpoint_id{"e1"}));
 }
 
-// A view of three daemons besides itself, of which "d4" falls silent.
+// A view of three other daemons, of which "d4" is silent.
 class silent_daemon_test : public testing::Test {
  public:
   silent_daemon_test()
@@ -148,7 +148,7 @@
     }
   }
 
-  void hear(const std::string& id, std::uint64_t counter, clock_reading now)
+  void receive_heartbeat(const std::string& id, std::uint64_t counter, clock_reading now)
   {
     view.apply_heartbeat(membership_view::heartbeat_hash_of(daemon_member(id)), counter, now);
   }
@@ -160,18 +160,18 @@
 
 TEST_F(SilentDaemonTest, IsSuspectedThenGone)
 {
-  hear("d2", 2, at(25'000));
-  hear("d3", 2, at(25'000));
+  receive_heartbeat("d2", 2, at(25'000));
+  receive_heartbeat("d3", 2, at(25'000));
   view.tick(at(30'000));
   EXPECT_TRUE(view.is_suspected(daemon_id{"d4"}));
   EXPECT_EQ(view.find(daemon_key("d4"))->state, member_state::live);
-  hear("d2", 3, at(50'000));
-  hear("d3", 3, at(50'000));
+  receive_heartbeat("d2", 3, at(50'000));
+  receive_heartbeat("d3", 3, at(50'000));
   view.tick(at(60'000));
   EXPECT_EQ(view.find(daemon_key("d4"))->state, member_state::gone);
 }
 
-TEST_F(SilentDaemonTest, IsNotAnsweredToCallersOnceSuspected)
+TEST_F(SilentDaemonTest, IsNotOfferedToCallersOnceSuspected)
 {
   view.tick(at(30'000));
   EXPECT_EQ(view.live_daemons().size(), 1U);
@@ -180,32 +180,32 @@
 TEST_F(SilentDaemonTest, RecoversByAHeartbeat)
 {
   view.tick(at(30'000));
-  hear("d4", 2, at(30'001));
+  receive_heartbeat("d4", 2, at(30'001));
   EXPECT_FALSE(view.is_suspected(daemon_id{"d4"}));
 }
 
-TEST_F(SilentDaemonTest, AStandingCounterIsNoSignOfLife)
+TEST_F(SilentDaemonTest, AnUnchangedCounterIsNoSignOfLife)
 {
-  hear("d4", 1, at(29'000));
+  receive_heartbeat("d4", 1, at(29'000));
   view.tick(at(30'000));
   EXPECT_TRUE(view.is_suspected(daemon_id{"d4"}));
 }
 
-TEST_F(SilentDaemonTest, ADaemonThatHearsNoMajorityDeclaresNobodyGone)
+TEST_F(SilentDaemonTest, ADaemonWithoutContactToAMajorityDeclaresNoMemberGone)
 {
   view.tick(at(3'600'000));
   EXPECT_EQ(view.find(daemon_key("d4"))->state, member_state::live);
   EXPECT_TRUE(view.is_suspected(daemon_id{"d4"}));
 }
 
-TEST_F(SilentDaemonTest, RefutesByAHigherIncarnation)
+TEST_F(SilentDaemonTest, OverridesBeingGoneByAHigherIncarnation)
 {
   view.apply(with_state(daemon_member("d4"), member_state::gone), at(1));
   view.apply(daemon_member("d4", "z1", 2), at(2));
   EXPECT_EQ(view.find(daemon_key("d4"))->state, member_state::live);
 }
 
-TEST(ViewTest, RaisesItsIncarnationWhenTakenForGone)
+TEST(ViewTest, RaisesItsIncarnationWhenDeclaredGone)
 {
   auto view = view_of("d1");
   view.apply(with_state(daemon_member("d1"), member_state::gone), at(1));
@@ -213,7 +213,7 @@
   EXPECT_EQ(view.self().state, member_state::live);
 }
 
-TEST(ViewTest, BelievesThatItIsToLeave)
+TEST(ViewTest, AcceptsANoticeThatItIsLeaving)
 {
   auto view = view_of("d1");
   auto notice = with_state(daemon_member("d1", "z1", 0), member_state::leaving);
@@ -223,10 +223,10 @@
   EXPECT_TRUE(view.live_daemons().empty());
 }
 
-TEST(ViewTest, StillLeavesWhenItRefutesBeingGone)
+TEST(ViewTest, IsStillLeavingAfterItOverridesBeingGone)
 {
   auto view = view_of("d1");
-  view.announce_leaving(daemon_key("d1"), std::nullopt, at(0));
+  view.mark_leaving(daemon_key("d1"), std::nullopt, at(0));
   view.apply(with_state(daemon_member("d1"), member_state::gone), at(1));
   EXPECT_EQ(view.self().state, member_state::leaving);
 }
@@ -241,7 +241,7 @@
   EXPECT_EQ(view.find(m.key)->attributes.labels.at("tier"), "gold");
 }
 
-TEST(ViewTest, AnOldListDoesNotUndoAnEditHeardFromAPeer)
+TEST(ViewTest, AnOldListDoesNotUndoAnEditReceivedFromAPeer)
 {
   auto view = view_of("d1");
   const auto old = endpoint_member("e1");
@@ -254,8 +254,8 @@
   EXPECT_TRUE(view.find(old.key)->attributes.labels.contains("tier"));
 }
 
-// Any record of few members, live, leaving or gone.
-member any_record()
+// A record of one of four members, live, leaving or gone.
+member random_record()
 {
   const auto i = *rc::gen::inRange(0, 4);
   member m = i < 2 ? daemon_member("d" + std::to_string(i + 2)) : //
@@ -268,9 +268,9 @@
   return m;
 }
 
-RC_GTEST_PROP(ViewTest, AgreesWhateverTheOrderOfItsNews, ())
+RC_GTEST_PROP(ViewTest, IsTheSameWhateverTheOrderOfUpdates, ())
 {
-  const auto records = *rc::gen::container<std::vector<member>>(rc::gen::exec(any_record));
+  const auto records = *rc::gen::container<std::vector<member>>(rc::gen::exec(random_record));
   auto one = view_of("d1");
   auto other = view_of("d1");
   for (const member& m : records) {
@@ -288,7 +288,7 @@
   auto view = view_of("d1");
   const auto gone = with_state(endpoint_member("e3"), member_state::gone);
   view.apply(gone, at(0));
-  const auto records = *rc::gen::container<std::vector<member>>(rc::gen::exec(any_record));
+  const auto records = *rc::gen::container<std::vector<member>>(rc::gen::exec(random_record));
   std::int64_t ms = 0;
   for (const member& m : records) {
     view.apply_list(std::vector{with_state(m, member_state::live)}, at(++ms));
--- a/test/peer/peer_codec_test.cc
+++ b/test/peer/peer_codec_test.cc
@@ -7,7 +7,7 @@
 namespace wisteriaflow::peer {
 namespace {
 
-// What comes out of the wire when `in` goes in.
+// Encodes `in`, serializes and parses the message, and decodes it.
 template <typename Wire, typename T> auto round_trip(const T& in)
 {
   Wire sent;
--- a/test/peer/peer_side_test.cc
+++ b/test/peer/peer_side_test.cc
@@ -15,27 +15,28 @@
 namespace wisteriaflow::peer {
 namespace {
 
-constexpr int calls_waiting = 200;
+constexpr int concurrent_calls = 200;
 constexpr std::chrono::milliseconds call_deadline{200};
 constexpr int rounds = 20;
-// Far above what a stop takes; only a stop that hangs reaches it.
-constexpr std::chrono::seconds hang_limit{20};
+// Far longer than a stop takes; reached only by a stop that hangs.
+constexpr std::chrono::seconds hang_timeout{20};
 
-// A call of a peer. Its state lives until gRPC has called back.
+// A call from a peer. Its state lives until gRPC has called back.
 struct pending_call {
   grpc::ClientContext context;
   v1::GossipMessage request;
   v1::GossipMessage reply;
 };
 
-// Peers that call one address without pause: each keeps calls waiting and sends the next as soon
-// as one ends. They end with the side, which then refuses connections.
+// Peers that call one address without pause: `concurrent_calls` calls are open at any time, and
+// each is followed by the next as soon as it ends. Their calls end when the peer_side ends, which
+// then refuses connections.
 class busy_peers {
  public:
   explicit busy_peers(const std::string& address)
       : stub_(v1::Peer::NewStub(grpc::CreateChannel(address, grpc::InsecureChannelCredentials())))
   {
-    for (int i = 0; i < calls_waiting; ++i) {
+    for (int i = 0; i < concurrent_calls; ++i) {
       call();
     }
   }
@@ -57,7 +58,7 @@
     state->context.set_deadline(std::chrono::system_clock::now() + call_deadline);
     stub_->async()->Gossip(&state->context, &state->request, &state->reply,
                            [this, state](const grpc::Status&) mutable {
-                             // The channel must not be closed by a callback of its own.
+                             // The channel must not be closed by its own callback.
                              state.reset();
                              if (!stopping_) {
                                call();
@@ -71,8 +72,9 @@
   std::atomic<int> waiting_ = 0;
 };
 
-// Stops `side` on a thread of its own, so that a stop that hangs fails the test and not the run.
-bool stops(const std::shared_ptr<peer_side>& side)
+// Stops `side` on a separate thread, so that a stop that hangs fails the test instead of the whole
+// run.
+bool stops_in_time(const std::shared_ptr<peer_side>& side)
 {
   std::promise<void> done;
   auto stopped = done.get_future();
@@ -80,10 +82,10 @@
     side->stop();
     done.set_value();
   }).detach();
-  return stopped.wait_for(hang_limit) == std::future_status::ready;
+  return stopped.wait_for(hang_timeout) == std::future_status::ready;
 }
 
-std::shared_ptr<peer_side> make_side(const std::shared_ptr<daemon::event_ring>& events)
+std::shared_ptr<peer_side> start_peer_side(const std::shared_ptr<daemon::event_ring>& events)
 {
   const peer_side_options options{.listen = {.host = "127.0.0.1", .port = 0}};
   auto side = std::make_shared<peer_side>(options, events);
@@ -91,7 +93,7 @@
   return side;
 }
 
-std::shared_ptr<daemon::event_ring> make_events()
+std::shared_ptr<daemon::event_ring> make_event_ring()
 {
   return std::make_shared<daemon::event_ring>(daemon::event_ring_capacity);
 }
@@ -99,29 +101,29 @@
 TEST(PeerSideTest, StopsWhileItsOwnCallsWait)
 {
   for (int round = 0; round < rounds; ++round) {
-    const auto events = make_events();
-    const auto silent = make_side(events);
-    auto caller = make_side(make_events());
+    const auto events = make_event_ring();
+    const auto unresponsive = start_peer_side(events);
+    auto caller = start_peer_side(make_event_ring());
     caller->ring()->try_push(core::send_to_peer{
-        .to = silent->address(),
+        .to = unresponsive->address(),
         .message = membership::gossip_message(),
-        .deadline = std::chrono::steady_clock::now() + hang_limit,
+        .deadline = std::chrono::steady_clock::now() + hang_timeout,
     });
-    events->wait_pop_all(std::chrono::steady_clock::now() + hang_limit);
-    ASSERT_TRUE(stops(caller)) << "hangs in round " << round;
+    events->wait_pop_all(std::chrono::steady_clock::now() + hang_timeout);
+    ASSERT_TRUE(stops_in_time(caller)) << "hangs in round " << round;
     caller.reset();
-    ASSERT_TRUE(stops(silent)) << "hangs in round " << round;
+    ASSERT_TRUE(stops_in_time(unresponsive)) << "hangs in round " << round;
   }
 }
 
 TEST(PeerSideTest, StopsWhilePeersGoOnCalling)
 {
   for (int round = 0; round < rounds; ++round) {
-    const auto events = make_events();
-    const auto side = make_side(events);
+    const auto events = make_event_ring();
+    const auto side = start_peer_side(events);
     const busy_peers peers(to_string(side->address()));
-    events->wait_pop_all(std::chrono::steady_clock::now() + hang_limit);
-    ASSERT_TRUE(stops(side)) << "hangs in round " << round;
+    events->wait_pop_all(std::chrono::steady_clock::now() + hang_timeout);
+    ASSERT_TRUE(stops_in_time(side)) << "hangs in round " << round;
   }
 }
 
