--- a/include/wisteriaflow/requests/errors.h
+++ b/include/wisteriaflow/requests/errors.h
@@ -1,4 +1,4 @@
-// Errors of the requests package.
+// Exceptions of the requests package.
 
 #ifndef WISTERIAFLOW_REQUESTS_ERRORS_H_
 #define WISTERIAFLOW_REQUESTS_ERRORS_H_
@@ -10,13 +10,13 @@
 
 namespace wisteriaflow::requests {
 
-// Base of this package's errors.
+// Base class of this package's exceptions.
 class requests_error : public error {
  public:
   using error::error;
 };
 
-// The caller's request is at fault. `what()` starts with the header or field at fault.
+// The caller's request is invalid. `what()` starts with the name of the invalid header or field.
 class invalid_request : public requests_error {
  public:
   invalid_request(int status, const std::string& field, const std::string& problem)
@@ -26,14 +26,14 @@
 
   [[nodiscard]] int status() const { return status_; }
 
-  // The outcome to answer with.
+  // The outcome with which the request ends.
   [[nodiscard]] invalid result() const { return {.status = status_, .message = what()}; }
 
  private:
   int status_;
 };
 
-// An engine's stream is malformed or over a limit: the attempt counts as broken off.
+// An engine's stream is malformed or exceeds a limit; the attempt counts as interrupted.
 class stream_error : public requests_error {
  public:
   using requests_error::requests_error;
--- a/include/wisteriaflow/requests/move_choice.h
+++ b/include/wisteriaflow/requests/move_choice.h
@@ -1,4 +1,5 @@
-// What to do with a running generation whose endpoint has been told that it will be reclaimed.
+// Decides what happens to a running generation when its endpoint gets notice that the cloud will
+// reclaim its machine.
 
 #ifndef WISTERIAFLOW_REQUESTS_MOVE_CHOICE_H_
 #define WISTERIAFLOW_REQUESTS_MOVE_CHOICE_H_
@@ -9,27 +10,29 @@
 
 namespace wisteriaflow::requests {
 
-// What is known when the notice arrives. Rates are measured, in tokens per second; a rate of 0
-// means that it is not known and the step that needs it is not chosen.
+// Estimates at the time of the reclaim notice. Rates are observed, in tokens per second; a rate of
+// 0 means unknown, and a choice that needs it is not made, except that `replay` is the fallback for
+// idempotent generations.
 struct move_estimate {
-  mono_time reclaim_at{};             // when the endpoint is gone
-  std::uint64_t kv_tokens = 0;        // prompt and answer so far, as held in the KV cache
-  std::uint64_t remaining_tokens = 0; // at most this many are still to come
-  double decode_rate = 0;             // of the endpoint that leaves
-  double transfer_rate = 0;           // KV export and import together
-  double prefill_rate = 0;            // of the endpoint that would replay the prefix
+  mono_time reclaim_at{};             // when the endpoint stops running
+  std::uint64_t kv_tokens = 0;        // prompt and answer so far, in the KV cache
+  std::uint64_t remaining_tokens = 0; // upper bound of tokens not yet generated
+  double decode_rate = 0;             // of the endpoint to be reclaimed
+  double transfer_rate = 0;           // KV cache export and import together
+  double prefill_rate = 0;            // of the endpoint that would recompute the prefix
 
   friend bool operator==(const move_estimate&, const move_estimate&) = default;
 };
 
+// How a generation continues after a reclaim notice.
 enum class move_choice {
-  stay,    // the rest fits into the notice, or nothing else is allowed
-  move_kv, // export the KV cache, cancel, import it elsewhere
-  replay,  // cancel, and compute the prefix again elsewhere
+  stay,    // finish on the endpoint: the rest fits into the notice, or no move is allowed
+  move_kv, // export the KV cache, cancel the attempt, import the cache on another endpoint
+  replay,  // cancel the attempt and recompute the prefix on another endpoint
 };
 
-// The cheapest way that is allowed at `now`. A non-idempotent generation (`may_replay` false) is
-// never replayed: it is moved whole or finishes where it is.
+// The cheapest choice that is allowed at `now`. A non-idempotent generation (`may_replay` false) is
+// never replayed: it is moved with its KV cache or finishes on its endpoint.
 [[nodiscard]] move_choice choose_move(const move_estimate& estimate, bool may_replay,
                                       mono_time now);
 
--- a/include/wisteriaflow/requests/outcome.h
+++ b/include/wisteriaflow/requests/outcome.h
@@ -1,4 +1,7 @@
-// The final outcomes of a request, and the one documented response of each.
+// The final outcomes of a request and the HTTP response to each.
+//
+// Every response has the header `Wisteriaflow-Outcome`, from which a caller learns whether the
+// request was run: "answered", "refused-not-run", "outcome-unknown" or "invalid".
 
 #ifndef WISTERIAFLOW_REQUESTS_OUTCOME_H_
 #define WISTERIAFLOW_REQUESTS_OUTCOME_H_
@@ -20,7 +23,7 @@
   friend bool operator==(const header_field&, const header_field&) = default;
 };
 
-// A whole response, free of any HTTP library.
+// A complete response, independent of any HTTP library.
 struct response_parts {
   int status = 200;
   std::vector<header_field> fields;
@@ -29,38 +32,39 @@
   friend bool operator==(const response_parts&, const response_parts&) = default;
 };
 
-// Why a request was refused without being run.
+// Why a request was refused without being run, with the HTTP status of the response.
 enum class refusal_reason {
-  over_share,        // 429: the workspace is over its share
+  over_share,        // 429: the workspace has used up its share of the capacity
   deadline_too_near, // 503: the answer would come after the caller's deadline
-  no_endpoint,       // 503: no endpoint can take it
-  store_unavailable, // 503: a claim could not be kept
-  draining,          // 503: the daemon is leaving
-  overloaded,        // 503: a queue is full
-  timed_out,         // 503: the caller's deadline passed before it was sent anywhere
-  caller_gone,       // nobody waits for it any more
+  no_endpoint,       // 503: no endpoint can take the request
+  store_unavailable, // 503: the claim of the idempotency key could not be stored
+  draining,          // 503: the daemon is draining
+  overloaded,        // 503: a queue of the daemon is full
+  timed_out,         // 503: the caller's deadline passed before an endpoint got the request
+  caller_gone,       // 503: the caller closed the connection
 };
 
-// Why nobody can say whether a request was run.
+// Why it is unknown whether a request was run; the HTTP status of the response is 504.
 enum class unknown_reason {
-  connection_lost,  // an endpoint had the request and did not answer
-  timed_out,        // the caller's deadline passed while an endpoint had the request
-  earlier_run_lost, // another run under the same key ended without a known outcome
-  key_too_old,      // the key is older than keys are remembered
-  retries_exhausted,
+  connection_lost,   // the connection to an endpoint that had the request was lost
+  timed_out,         // the caller's deadline passed while an endpoint had the request
+  earlier_run_lost,  // another run under the same key ended without a known outcome
+  key_too_old,       // the key is older than the retention time of keys
+  retries_exhausted, // every attempt that the retry limits allow has failed
   answer_incomplete, // the endpoint's answer has a gap that may not be filled by a second run
-  answer_too_large,
-  caller_gone, // nobody waits for it any more
+  answer_too_large,  // the endpoint's answer exceeds the size limit
+  caller_gone,       // the caller closed the connection
 };
 
-// The endpoint's answer, whatever its status.
+// The endpoint answered, with a status of success or error.
 struct answered {
   int status = 200;
 
   friend bool operator==(const answered&, const answered&) = default;
 };
 
-// No byte of the request reached an endpoint that might run it.
+// No endpoint has run the request, nor will: no byte reached one that might. The caller may send it
+// again at `retry_at`. `message` replaces the default text for the reason if it is not empty.
 struct refused_not_run {
   refusal_reason reason = refusal_reason::no_endpoint;
   wall_time retry_at{};
@@ -69,14 +73,14 @@
   friend bool operator==(const refused_not_run&, const refused_not_run&) = default;
 };
 
-// The request may have been run; the caller must not assume either.
+// The request may or may not have been run; the caller must assume neither.
 struct outcome_unknown {
   unknown_reason reason = unknown_reason::connection_lost;
 
   friend bool operator==(const outcome_unknown&, const outcome_unknown&) = default;
 };
 
-// The request itself is at fault and was not run. `status` is 400, 404, 409, 413 or 431.
+// The request is invalid and was not run. `status` is 400, 404, 409, 413 or 431.
 struct invalid {
   int status = 400;
   std::string message;
@@ -86,15 +90,15 @@
 
 using outcome = std::variant<answered, refused_not_run, outcome_unknown, invalid>;
 
-// The name of a reason as it stands in an error body, such as "over_share".
+// The name of a reason in an error body, such as "over_share".
 [[nodiscard]] std::string_view name_of(refusal_reason reason);
 [[nodiscard]] std::string_view name_of(unknown_reason reason);
 
 // The value of the `Wisteriaflow-Outcome` header.
 [[nodiscard]] std::string_view name_of(const outcome& value);
 
-// The documented response to `value`; for `answered` only its status and headers. `Retry-After` is
-// whole seconds from `now`, rounded up, at least 1.
+// The response to `value`; for `answered` only the status and the outcome header. `Retry-After` is
+// in whole seconds from `now`, rounded up, at least 1.
 [[nodiscard]] response_parts outcome_response(const outcome& value, wall_time now);
 
 } // namespace wisteriaflow::requests
--- a/include/wisteriaflow/requests/request_actions.h
+++ b/include/wisteriaflow/requests/request_actions.h
@@ -1,4 +1,5 @@
-// What a `request_life` asks its surroundings to do.
+// Actions that `request_lifecycle` returns and its caller performs, in the order in which they are
+// returned. Results come back as the events of request_events.h.
 
 #ifndef WISTERIAFLOW_REQUESTS_REQUEST_ACTIONS_H_
 #define WISTERIAFLOW_REQUESTS_REQUEST_ACTIONS_H_
@@ -17,44 +18,47 @@
 
 namespace wisteriaflow::requests {
 
-// An exported KV cache: the run that it continues has been cancelled.
+// An exported KV cache. The next attempt imports it. For a non-idempotent request the attempt that
+// it was exported from is known to be cancelled before the cache is used.
 struct kv_transfer {
   std::string handle;
   endpoint_id from;
-  std::uint64_t tokens = 0; // of the answer, covered by the cache
+  std::uint64_t tokens = 0; // tokens of the answer that the cache covers
 
   friend bool operator==(const kv_transfer&, const kv_transfer&) = default;
 };
 
-// A request in flight, as it goes to a peer.
+// The state of a request in flight that a peer needs to take it over.
 struct handed_over_state {
-  attempt_number attempt = 0;      // the last one used
-  std::vector<std::string> tokens; // of the answer so far
-  bool dispatched = false;         // bytes of it may have reached an endpoint
-  std::uint64_t claim_nonce = 0;   // 0: none
+  attempt_number attempt = 0;      // the number of the latest attempt
+  std::vector<std::string> tokens; // the answer so far
+  bool dispatched = false;         // bytes of the request may have reached an endpoint
+  std::uint64_t claim_nonce = 0;   // of the claim of the key; 0 if the key is not claimed
   std::optional<kv_transfer> transfer;
 
   friend bool operator==(const handed_over_state&, const handed_over_state&) = default;
 };
 
-// Claim the key of a non-idempotent request.
+// Claim the idempotency key of a non-idempotent request, so that no other daemon runs it. The
+// result is `claim_granted`, `claim_duplicate` or `claim_unavailable`.
 struct claim_key {
   friend bool operator==(const claim_key&, const claim_key&) = default;
 };
 
-// Choose an endpoint outside of `exclude` and send the request to it, to go on after
-// `resume_tokens` tokens whose text is `resume_text`.
+// Choose an endpoint that is not in `exclude` and send the request to it. The endpoint continues
+// the answer after its first `resume_tokens` tokens, whose text is `resume_text`.
 struct start_attempt {
   attempt_number attempt = 0;
   std::set<endpoint_id> exclude;
   std::uint64_t resume_tokens = 0;
   std::string resume_text;
-  std::optional<kv_transfer> transfer; // import this first
+  std::optional<kv_transfer> transfer; // the KV cache to import first
 
   friend bool operator==(const start_attempt&, const start_attempt&) = default;
 };
 
-// Cancel the attempt. With `confirm`, tell the result by `cancel_confirmed` or `cancel_failed`.
+// Cancel the attempt. With `confirm` the result is reported by `cancel_confirmed` or
+// `cancel_failed`.
 struct cancel_attempt {
   attempt_number attempt = 0;
   bool confirm = false;
@@ -62,7 +66,7 @@
   friend bool operator==(const cancel_attempt&, const cancel_attempt&) = default;
 };
 
-// Ask the retry budget for a token; answer by `retry_granted` (after the backoff) or
+// Take a token from the retry budget. The result is `retry_granted`, after the backoff, or
 // `retry_denied`.
 struct ask_retry {
   attempt_number failed_attempt = 0;
@@ -70,7 +74,7 @@
   friend bool operator==(const ask_retry&, const ask_retry&) = default;
 };
 
-// Export the KV cache of the running attempt.
+// Export the KV cache of the running attempt. The result is `kv_exported` or `kv_export_failed`.
 struct export_kv {
   attempt_number attempt = 0;
   endpoint_id from;
@@ -78,7 +82,7 @@
   friend bool operator==(const export_kv&, const export_kv&) = default;
 };
 
-// Send the head of the answer to the caller.
+// Send the status and the header fields of the response to the caller.
 struct send_head {
   int status = 200;
   std::vector<header_field> fields;
@@ -94,36 +98,36 @@
   friend bool operator==(const send_token&, const send_token&) = default;
 };
 
-// Send the whole body of an answer that is not streamed.
+// Send the complete body of an answer that is not streamed.
 struct send_body {
   std::string bytes;
 
   friend bool operator==(const send_body&, const send_body&) = default;
 };
 
-// Keep the answer for later calls with the key.
+// Keep the answer until `until` for later calls with the same key.
 struct keep_answer {
   wall_time until{};
 
   friend bool operator==(const keep_answer&, const keep_answer&) = default;
 };
 
-// Hand the request to a peer; answer by `handover_accepted` or `handover_refused`.
+// Hand the request over to a peer. The result is `handover_accepted` or `handover_refused`.
 struct hand_over {
   handed_over_state state;
 
   friend bool operator==(const hand_over&, const hand_over&) = default;
 };
 
-// Last action: send the caller to `address` for its answer.
+// Final action: redirect the caller to the daemon at `address`, which has or will have the answer.
 struct redirect {
   std::string address;
 
   friend bool operator==(const redirect&, const redirect&) = default;
 };
 
-// Last action: the final outcome. `head_sent` tells whether the caller already has the head of the
-// answer, so that an error can only be sent as an event of the stream.
+// Final action: the outcome of the request. If `head_sent` is true, the caller has received the
+// response head, and an error can only be sent as an event of the stream.
 struct finish {
   outcome result;
   bool head_sent = false;
@@ -133,7 +137,7 @@
   friend bool operator==(const finish&, const finish&) = default;
 };
 
-// Every life ends with exactly one `finish` or `redirect`.
+// Every request ends with exactly one `finish` or `redirect`.
 using request_action =
     std::variant<claim_key, start_attempt, cancel_attempt, ask_retry, export_kv, send_head,
                  send_token, send_body, keep_answer, hand_over, redirect, finish>;
--- a/include/wisteriaflow/requests/sse_parser.h
+++ b/include/wisteriaflow/requests/sse_parser.h
@@ -1,4 +1,7 @@
-// Reads the server-sent events of a model engine's stream, from chunks cut anywhere.
+// Incremental parser of the server-sent events in a model engine's response.
+//
+//   sse_parser parser;
+//   for (const auto& event : parser.feed(bytes)) { ... } // bytes as they arrive from the socket
 
 #ifndef WISTERIAFLOW_REQUESTS_SSE_PARSER_H_
 #define WISTERIAFLOW_REQUESTS_SSE_PARSER_H_
@@ -14,7 +17,7 @@
 
 namespace wisteriaflow::requests {
 
-// One token, numbered over the whole answer.
+// One token. `offset` counts from 0 over the complete answer, across attempts.
 struct engine_token {
   std::uint64_t offset = 0;
   std::string text;
@@ -22,38 +25,38 @@
   friend bool operator==(const engine_token&, const engine_token&) = default;
 };
 
-// The engine has made the last token; the whole answer has `tokens` of them.
-struct engine_end {
+// The engine has finished the generation; the complete answer has `tokens` tokens.
+struct engine_finish {
   std::uint64_t tokens = 0;
   std::string finish_reason;
   token_usage usage;
 
-  friend bool operator==(const engine_end&, const engine_end&) = default;
+  friend bool operator==(const engine_finish&, const engine_finish&) = default;
 };
 
-// The stream ended properly.
-struct engine_done {
-  friend bool operator==(const engine_done&, const engine_done&) = default;
+// The stream ended properly, with "[DONE]".
+struct engine_stream_end {
+  friend bool operator==(const engine_stream_end&, const engine_stream_end&) = default;
 };
 
-using engine_event = std::variant<engine_token, engine_end, engine_done>;
+using engine_event = std::variant<engine_token, engine_finish, engine_stream_end>;
 
 class sse_parser {
  public:
-  // An event is at most `max_event_bytes` long.
+  // Events longer than `max_event_bytes` are an error.
   explicit sse_parser(std::size_t max_event_bytes = std::size_t{64} << 10U)
       : max_event_bytes_(max_event_bytes)
   {
   }
 
-  // Takes the next bytes and returns the events that are now complete. Lines end in LF or CRLF.
-  // Throws stream_error on malformed data, an over-long event or an `error` event; the parser must
-  // not be used after that.
+  // Parses the next bytes, which may end anywhere, and returns the events that they complete. Lines
+  // end in LF or CRLF. Throws stream_error on malformed data, an event over the limit or an `error`
+  // event; the parser must not be used after that.
   std::vector<engine_event> feed(std::string_view bytes);
 
  private:
-  void take_line(std::string_view line, std::vector<engine_event>& events);
-  void take_event(std::vector<engine_event>& events);
+  void parse_line(std::string_view line, std::vector<engine_event>& events);
+  void dispatch_event(std::vector<engine_event>& events);
 
   std::size_t max_event_bytes_;
   std::string line_;
--- a/include/wisteriaflow/requests/stream_assembler.h
+++ b/include/wisteriaflow/requests/stream_assembler.h
@@ -1,4 +1,8 @@
-// Puts the tokens of one answer in order: each offset once, none missing.
+// Collects the tokens of one answer in order of their offsets, without duplicates or gaps.
+//
+//   stream_assembler answer;
+//   answer.accept(1, "b"); // buffered
+//   answer.accept(0, "a"); // appended; answer.text() is "ab"
 
 #ifndef WISTERIAFLOW_REQUESTS_STREAM_ASSEMBLER_H_
 #define WISTERIAFLOW_REQUESTS_STREAM_ASSEMBLER_H_
@@ -11,40 +15,40 @@
 
 namespace wisteriaflow::requests {
 
-// What became of a token.
-enum class chunk_result {
-  appended,     // the answer grew by this token, and by held ones behind it
-  held,         // it is ahead of the next offset and waits for those before it
-  duplicate,    // its offset was seen before
-  gap_too_wide, // too many tokens wait: what is missing will not come any more
+// What `stream_assembler::accept` did with a token.
+enum class token_result {
+  appended,     // the answer grew by this token and by the buffered ones that follow it
+  buffered,     // the token is ahead of the next offset and waits for the missing ones
+  duplicate,    // a token with this offset was accepted before
+  gap_too_wide, // the buffer is full; the missing tokens are considered lost
 };
 
 class stream_assembler {
  public:
-  // At most `window` tokens wait for a missing one.
+  // Buffers at most `window` tokens that wait for a missing one.
   explicit stream_assembler(std::size_t window = 8) : window_(window) {}
 
-  // Starts with the tokens of an earlier holder.
+  // Starts with the tokens that a peer collected before it handed the request over.
   explicit stream_assembler(std::vector<std::string> tokens, std::size_t window = 8);
 
-  // Takes the token with number `offset` of the whole answer.
-  chunk_result accept(std::uint64_t offset, std::string text);
+  // Adds the token with number `offset` (from 0) of the complete answer.
+  token_result accept(std::uint64_t offset, std::string text);
 
-  // Forgets the waiting tokens, because another attempt sends them again.
-  void drop_held() { held_.clear(); }
+  // Discards the buffered tokens. For the start of another attempt, which sends them again.
+  void drop_buffered() { buffered_.clear(); }
 
-  // The number of the next token, which is how many there are.
+  // The offset of the next token, which is also the number of tokens collected.
   [[nodiscard]] std::uint64_t next_offset() const { return tokens_.size(); }
 
   [[nodiscard]] const std::vector<std::string>& tokens() const { return tokens_; }
 
-  // The answer so far as one text.
+  // The collected tokens, concatenated.
   [[nodiscard]] std::string text() const;
 
  private:
   std::size_t window_;
   std::vector<std::string> tokens_;
-  std::map<std::uint64_t, std::string> held_;
+  std::map<std::uint64_t, std::string> buffered_;
 };
 
 } // namespace wisteriaflow::requests
--- a/samples/04_request_life.cc
+++ b/samples/04_request_life.cc
@@ -55,10 +55,10 @@
     }
   }
 
-  [[nodiscard]] const requests::request_life& life() const { return life_; }
+  [[nodiscard]] const requests::request_lifecycle& life() const { return life_; }
 
  private:
-  requests::request_life life_{
+  requests::request_lifecycle life_{
       {.request_id = "r1", .model = "phrasebook", .streamed = true, .prompt_tokens = 800}};
   clock_reading now_{.mono = mono_time{std::chrono::hours{1}},
                      .wall = wall_time{std::chrono::hours{1}}};
--- a/src/core/active_request.h
+++ b/src/core/active_request.h
@@ -41,7 +41,7 @@
   int status = 0;                // of the endpoint's answer; 0 before its head
   std::string error_body;        // of an answer that is no stream
   http::headers fields;          // of the answer
-  requests::engine_end end;      // as told by the engine
+  requests::engine_finish end;   // as told by the engine
   bool end_seen = false;
 };
 
@@ -53,15 +53,15 @@
 };
 
 struct active_request {
-  active_request(std::string request_id, requests::request_life_options options,
+  active_request(std::string request_id, requests::request_lifecycle_options options,
                  requests::handed_over_state state)
       : id(std::move(request_id)), options(options), life(std::move(options), std::move(state))
   {
   }
 
   std::string id;
-  requests::request_life_options options;
-  requests::request_life life;
+  requests::request_lifecycle_options options;
+  requests::request_lifecycle life;
   requests::answer_key key; // of the kept answer: the idempotency key, or the id
   hash128 body_hash;
   http::request message; // as the caller sent it
--- a/src/core/request_table.cc
+++ b/src/core/request_table.cc
@@ -184,12 +184,13 @@
     auto parsed = requests::parse_completion_request(to_fields(message.fields), message.body,
                                                      context_.now(), limits());
     const auto id = next_id();
-    requests::request_life_options options{.request_id = id,
-                                           .model = parsed.model.value(),
-                                           .idempotent = parsed.headers.idempotent,
-                                           .keyed = !parsed.headers.key.empty(),
-                                           .prompt_tokens = parsed.prompt.size() / bytes_per_token,
-                                           .retention = context_.options().answer_retention};
+    requests::request_lifecycle_options options{.request_id = id,
+                                                .model = parsed.model.value(),
+                                                .idempotent = parsed.headers.idempotent,
+                                                .keyed = !parsed.headers.key.empty(),
+                                                .prompt_tokens =
+                                                    parsed.prompt.size() / bytes_per_token,
+                                                .retention = context_.options().answer_retention};
     auto fresh = std::make_unique<active_request>(id, options, requests::handed_over_state{});
     fresh->key = answer_key_of(parsed.headers, id);
     fresh->body_hash = parsed.body_hash;
@@ -236,11 +237,11 @@
     auto headers =
         requests::parse_call_headers(to_fields(message.fields), context_.now(), limits());
     const auto id = next_id();
-    requests::request_life_options options{.request_id = id,
-                                           .generation = false,
-                                           .idempotent = headers.idempotent,
-                                           .keyed = !headers.key.empty(),
-                                           .retention = context_.options().answer_retention};
+    requests::request_lifecycle_options options{.request_id = id,
+                                                .generation = false,
+                                                .idempotent = headers.idempotent,
+                                                .keyed = !headers.key.empty(),
+                                                .retention = context_.options().answer_retention};
     auto fresh = std::make_unique<active_request>(id, options, requests::handed_over_state{});
     fresh->key = answer_key_of(headers, id);
     fresh->body_hash = hash128_of(message.method + " " + message.target + "\n" + message.body);
@@ -296,7 +297,7 @@
     send_kept(call, found->answer, streamed, 0);
   } else if (const auto* run = std::get_if<requests::run_joined>(&opened)) {
     join(run->request_id, attached);
-  } else if (std::holds_alternative<requests::body_differs>(opened)) {
+  } else if (std::holds_alternative<requests::body_mismatch>(opened)) {
     throw requests::invalid_request(409, "Idempotency-Key", "was used before with another body");
   } else if (std::holds_alternative<requests::store_full>(opened)) {
     send_outcome(call, requests::refused_not_run{requests::refusal_reason::overloaded,
@@ -384,7 +385,7 @@
   r->calls.push_back(call);
   calls_.emplace(call.call, id);
   if (alone) {
-    feed(*r, requests::caller_back{});
+    feed(*r, requests::caller_reconnected{});
   }
   if (auto* still = find(id)) {
     send_tokens(*still);
@@ -477,7 +478,7 @@
   }
   std::erase_if(r->calls, [call](const attached_call& c) { return c.call == call; });
   if (r->calls.empty()) {
-    feed(*r, requests::caller_gone{});
+    feed(*r, requests::caller_disconnected{});
   }
 }
 
--- a/src/core/request_table_attempts.cc
+++ b/src/core/request_table_attempts.cc
@@ -52,9 +52,9 @@
   case exchange_failure::timed_out:
     return requests::failure_kind::timed_out;
   case exchange_failure::broken:
-    return requests::failure_kind::broken;
+    return requests::failure_kind::interrupted;
   }
-  return requests::failure_kind::broken;
+  return requests::failure_kind::interrupted;
 }
 
 } // namespace
@@ -137,7 +137,7 @@
           return;
         }
         feed(*moving, requests::attempt_failed{.attempt = a.attempt,
-                                               .kind = requests::failure_kind::broken});
+                                               .kind = requests::failure_kind::interrupted});
       });
 }
 
@@ -197,7 +197,7 @@
     if (const auto* token = std::get_if<requests::engine_token>(&e)) {
       note_first_token(*r);
       feed(*r, requests::token_arrived{.attempt = n, .offset = token->offset, .text = token->text});
-    } else if (const auto* end = std::get_if<requests::engine_end>(&e)) {
+    } else if (const auto* end = std::get_if<requests::engine_finish>(&e)) {
       r->running->end = *end;
       r->running->end_seen = true;
     }
@@ -387,8 +387,8 @@
   }
   for (const auto& id : there) {
     if (auto* r = find(id)) {
-      feed(*r, requests::endpoint_leaving{.endpoint = endpoint,
-                                          .estimate = estimate_move(*r, reclaim_at)});
+      feed(*r, requests::reclaim_announced{.endpoint = endpoint,
+                                           .estimate = estimate_move(*r, reclaim_at)});
     }
   }
   context_.timers().at(context_.now().mono + move_check,
--- a/src/core/request_table_peers.cc
+++ b/src/core/request_table_peers.cc
@@ -143,7 +143,7 @@
 // Copies of kept answers go to a peer while there is time; callers find them by their keys.
 void request_table::hand_over_answers()
 {
-  for (const auto& entry : answers_.kept()) {
+  for (const auto& entry : answers_.kept_answers()) {
     const auto successor = choose_successor();
     const auto to = successor ? services_.members.peer_address_of(*successor) : std::nullopt;
     if (!to) {
@@ -258,12 +258,12 @@
     }
     headers.wall_deadline = handed.deadline;
     headers.deadline = now.mono + (handed.deadline - now.wall);
-    requests::request_life_options options{.request_id = handed.request_id,
-                                           .generation = generation,
-                                           .idempotent = headers.idempotent,
-                                           .keyed = true,
-                                           .caller_connected = false,
-                                           .retention = context_.options().answer_retention};
+    requests::request_lifecycle_options options{.request_id = handed.request_id,
+                                                .generation = generation,
+                                                .idempotent = headers.idempotent,
+                                                .keyed = true,
+                                                .caller_connected = false,
+                                                .retention = context_.options().answer_retention};
     if (completion) {
       options.model = completion->model.value();
     }
--- a/src/requests/answer_store.cc
+++ b/src/requests/answer_store.cc
@@ -3,7 +3,8 @@
 namespace wisteriaflow::requests {
 namespace {
 
-// What one kept answer costs besides its bytes: map nodes, deadlines, string headers.
+// Memory of one kept answer besides its contents, in bytes: map nodes, deadline entry, string
+// headers.
 constexpr std::size_t entry_overhead = 512;
 
 } // namespace
@@ -25,13 +26,13 @@
 {
   if (const auto it = kept_.find(key); it != kept_.end()) {
     if (it->second.body != body) {
-      return body_differs{};
+      return body_mismatch{};
     }
     return answer_found{it->second.answer};
   }
   if (const auto it = runs_.find(key); it != runs_.end()) {
     if (it->second.body != body) {
-      return body_differs{};
+      return body_mismatch{};
     }
     if (it->second.followers.size() >= options_.max_followers) {
       return store_full{};
@@ -50,12 +51,12 @@
                                             kept_answer answer, wall_time until)
 {
   auto followers = release(key);
-  drop(key);
+  erase_kept(key);
   const auto size = size_of(answer);
   if (size > options_.max_bytes) {
     return followers;
   }
-  make_room(size);
+  evict_until_fits(size);
   kept_.emplace(
       key, kept_entry{.body = body, .answer = std::move(answer), .until = until, .size = size});
   by_deadline_.emplace(until, key);
@@ -82,13 +83,13 @@
   if (const auto it = runs_.find(key); it != runs_.end()) {
     return run_joined{it->second.request_id};
   }
-  return not_known{};
+  return key_not_found{};
 }
 
 void answer_store::expire(wall_time now)
 {
   while (!by_deadline_.empty() && by_deadline_.begin()->first <= now) {
-    drop(answer_key(by_deadline_.begin()->second));
+    erase_kept(answer_key(by_deadline_.begin()->second));
   }
 }
 
@@ -97,7 +98,7 @@
   return by_deadline_.empty() ? wall_time::max() : by_deadline_.begin()->first;
 }
 
-std::vector<answer_store::entry> answer_store::kept() const
+std::vector<answer_store::entry> answer_store::kept_answers() const
 {
   std::vector<entry> all;
   all.reserve(kept_.size());
@@ -109,7 +110,7 @@
   return all;
 }
 
-void answer_store::drop(const answer_key& key)
+void answer_store::erase_kept(const answer_key& key)
 {
   const auto it = kept_.find(key);
   if (it == kept_.end()) {
@@ -120,11 +121,11 @@
   kept_.erase(it);
 }
 
-void answer_store::make_room(std::size_t size)
+void answer_store::evict_until_fits(std::size_t size)
 {
-  // The answer that would go first anyway goes first.
+  // Evicts the answers with the earliest deadlines, which would expire first anyway.
   while (bytes_ + size > options_.max_bytes) {
-    drop(answer_key(by_deadline_.begin()->second));
+    erase_kept(answer_key(by_deadline_.begin()->second));
   }
 }
 
--- a/src/requests/call_headers.cc
+++ b/src/requests/call_headers.cc
@@ -18,14 +18,15 @@
 constexpr std::size_t uuid_variant_at = 19;
 constexpr int hex_base = 16;
 
-[[noreturn]] void refuse(std::string_view name, const std::string& problem)
+[[noreturn]] void throw_invalid_request(std::string_view name, const std::string& problem)
 {
   throw invalid_request(status_bad_request, std::string(name), problem);
 }
 
-// The value of a header that may stand only once: two values could be read either way.
-std::optional<std::string_view> single(const std::vector<header_field>& fields,
-                                       std::string_view name)
+// The value of a header that may occur only once. A second value is an error, because it would be
+// ambiguous which of the two applies.
+std::optional<std::string_view> unique_value(const std::vector<header_field>& fields,
+                                             std::string_view name)
 {
   std::optional<std::string_view> value;
   for (const auto& field : fields) {
@@ -33,14 +34,14 @@
       continue;
     }
     if (value) {
-      refuse(name, "is given more than once");
+      throw_invalid_request(name, "is given more than once");
     }
     value = field.value;
   }
   return value;
 }
 
-std::optional<std::int64_t> number_in(std::string_view text, int base)
+std::optional<std::int64_t> parse_number(std::string_view text, int base)
 {
   std::int64_t n = 0;
   const auto* end = text.data() + text.size();
@@ -51,13 +52,13 @@
   return n;
 }
 
-std::int64_t ranged(std::string_view name, std::string_view text, std::int64_t low,
-                    std::int64_t high)
+std::int64_t parse_number_in_range(std::string_view name, std::string_view text, std::int64_t low,
+                                   std::int64_t high)
 {
-  const auto n = number_in(text, 10);
+  const auto n = parse_number(text, 10);
   if (!n || *n < low || *n > high) {
-    refuse(name,
-           "must be a whole number from " + std::to_string(low) + " to " + std::to_string(high));
+    throw_invalid_request(name, "must be a whole number from " + std::to_string(low) + " to " +
+                                    std::to_string(high));
   }
   return *n;
 }
@@ -81,16 +82,16 @@
     text = comma == std::string_view::npos ? std::string_view() : text.substr(comma + 1);
     const auto equals = pair.find('=');
     if (equals == std::string_view::npos || equals == 0) {
-      refuse(name, "must be a list such as key=value,key=value");
+      throw_invalid_request(name, "must be a list such as key=value,key=value");
     }
     const bool added =
         labels.emplace(std::string(pair.substr(0, equals)), std::string(pair.substr(equals + 1)))
             .second;
     if (!added) {
-      refuse(name, "has the key " + std::string(pair.substr(0, equals)) + " twice");
+      throw_invalid_request(name, "has the key " + std::string(pair.substr(0, equals)) + " twice");
     }
     if (labels.size() > max_labels) {
-      refuse(name, "has more than " + std::to_string(max_labels) + " labels");
+      throw_invalid_request(name, "has more than " + std::to_string(max_labels) + " labels");
     }
   }
   return labels;
@@ -101,7 +102,8 @@
   const bool printable =
       std::all_of(text.begin(), text.end(), [](char c) { return c > ' ' && c <= '~'; });
   if (text.empty() || text.size() > max_bytes || !printable) {
-    refuse(name, "must be 1 to " + std::to_string(max_bytes) + " printable ASCII characters");
+    throw_invalid_request(name, "must be 1 to " + std::to_string(max_bytes) +
+                                    " printable ASCII characters");
   }
   return std::string(text);
 }
@@ -109,7 +111,7 @@
 bool parse_bool(std::string_view name, std::string_view text)
 {
   if (text != "true" && text != "false") {
-    refuse(name, "must be true or false");
+    throw_invalid_request(name, "must be true or false");
   }
   return text == "true";
 }
@@ -117,16 +119,17 @@
 void check_non_idempotent(const call_headers& headers, const clock_reading& now)
 {
   constexpr std::string_view name = "Idempotency-Key";
-  // Of the key's own clock; wider than any the caller's clock should be off.
+  // Allowed lead of the caller's clock, from which the time in the key comes, over this daemon's.
+  // It is wider than a caller's clock should ever be off.
   constexpr std::chrono::minutes max_skew{1};
   if (headers.key.empty()) {
-    refuse(name, "is required when Wisteriaflow-Idempotent is false");
+    throw_invalid_request(name, "is required when Wisteriaflow-Idempotent is false");
   }
   if (!headers.key_created) {
-    refuse(name, "must be a version 7 UUID when Wisteriaflow-Idempotent is false");
+    throw_invalid_request(name, "must be a version 7 UUID when Wisteriaflow-Idempotent is false");
   }
   if (*headers.key_created > now.wall + max_skew) {
-    refuse(name, "has a time in the future");
+    throw_invalid_request(name, "has a time in the future");
   }
 }
 
@@ -136,31 +139,31 @@
                                 const call_limits& limits)
 {
   call_headers headers;
-  const auto workspace = single(fields, "Wisteriaflow-Workspace");
+  const auto workspace = unique_value(fields, "Wisteriaflow-Workspace");
   if (!workspace || workspace->empty()) {
-    refuse("Wisteriaflow-Workspace", "is required");
+    throw_invalid_request("Wisteriaflow-Workspace", "is required");
   }
   headers.workspace = workspace_id(std::string(*workspace));
-  if (const auto it = single(fields, "Wisteriaflow-Labels")) {
+  if (const auto it = unique_value(fields, "Wisteriaflow-Labels")) {
     headers.labels = parse_labels("Wisteriaflow-Labels", *it, limits.max_labels);
   }
-  if (const auto it = single(fields, "Idempotency-Key")) {
+  if (const auto it = unique_value(fields, "Idempotency-Key")) {
     headers.key = parse_key("Idempotency-Key", *it, limits.max_key_bytes);
     headers.key_created = uuid_v7_time(headers.key);
   }
-  if (const auto it = single(fields, "Wisteriaflow-Idempotent")) {
+  if (const auto it = unique_value(fields, "Wisteriaflow-Idempotent")) {
     headers.idempotent = parse_bool("Wisteriaflow-Idempotent", *it);
   }
   auto timeout = limits.default_timeout;
-  if (const auto it = single(fields, "Wisteriaflow-Timeout-Ms")) {
+  if (const auto it = unique_value(fields, "Wisteriaflow-Timeout-Ms")) {
     timeout = std::chrono::milliseconds(
-        ranged("Wisteriaflow-Timeout-Ms", *it, 1, limits.max_timeout.count()));
+        parse_number_in_range("Wisteriaflow-Timeout-Ms", *it, 1, limits.max_timeout.count()));
   }
   headers.deadline = now.mono + timeout;
   headers.wall_deadline = now.wall + timeout;
-  if (const auto it = single(fields, "Wisteriaflow-Priority")) {
-    headers.priority =
-        static_cast<int>(ranged("Wisteriaflow-Priority", *it, 0, limits.max_priority));
+  if (const auto it = unique_value(fields, "Wisteriaflow-Priority")) {
+    headers.priority = static_cast<int>(
+        parse_number_in_range("Wisteriaflow-Priority", *it, 0, limits.max_priority));
   }
   if (!headers.idempotent) {
     check_non_idempotent(headers, now);
@@ -186,7 +189,7 @@
     return std::nullopt;
   }
   const auto ms =
-      number_in(std::string(text.substr(0, 8)) + std::string(text.substr(9, 4)), hex_base);
+      parse_number(std::string(text.substr(0, 8)) + std::string(text.substr(9, 4)), hex_base);
   return from_unix_ms(ms.value_or(0));
 }
 
--- a/src/requests/completion_render.cc
+++ b/src/requests/completion_render.cc
@@ -45,7 +45,7 @@
   return "event: error\ndata: " + outcome_response(result, now).body + "\n\n";
 }
 
-std::string render_whole_answer(const whole_answer& answer)
+std::string render_completion_response(const completion_response& answer)
 {
   const json::object body{{"id", answer.request_id},
                           {"model", answer.model},
--- a/src/requests/completion_request.cc
+++ b/src/requests/completion_request.cc
@@ -12,10 +12,10 @@
 constexpr int status_bad_request = 400;
 constexpr int status_too_large = 413;
 
-// Fields that only the project may set.
+// Fields of the engine's request that only the gateway sets.
 constexpr std::string_view reserved_fields[] = {"resume_tokens", "resume_text", "priority"};
 
-[[noreturn]] void refuse(std::string_view field, const std::string& problem)
+[[noreturn]] void throw_invalid_request(std::string_view field, const std::string& problem)
 {
   throw invalid_request(status_bad_request, std::string(field), problem);
 }
@@ -25,10 +25,10 @@
   json::error_code ec;
   auto value = json::parse(json::string_view(body.data(), body.size()), ec);
   if (ec) {
-    refuse("body", "is not JSON: " + ec.message());
+    throw_invalid_request("body", "is not JSON: " + ec.message());
   }
   if (!value.is_object()) {
-    refuse("body", "must be a JSON object");
+    throw_invalid_request("body", "must be a JSON object");
   }
   return std::move(value.get_object());
 }
@@ -37,10 +37,10 @@
 {
   const auto* value = object.if_contains(name);
   if (value == nullptr) {
-    refuse(name, "is required");
+    throw_invalid_request(name, "is required");
   }
   if (!value->is_string()) {
-    refuse(name, "must be a string");
+    throw_invalid_request(name, "must be a string");
   }
   return std::string(value->get_string());
 }
@@ -54,7 +54,8 @@
   json::error_code ec;
   const auto n = value->is_number() ? value->to_number<std::uint64_t>(ec) : 0;
   if (ec || n < 1 || n > limits.max_tokens) {
-    refuse("max_tokens", "must be a whole number from 1 to " + std::to_string(limits.max_tokens));
+    throw_invalid_request("max_tokens",
+                          "must be a whole number from 1 to " + std::to_string(limits.max_tokens));
   }
   return n;
 }
@@ -66,18 +67,18 @@
     return false;
   }
   if (!value->is_bool()) {
-    refuse("stream", "must be true or false");
+    throw_invalid_request("stream", "must be true or false");
   }
   return value->get_bool();
 }
 
-// One answer a request: several could not be told apart by their offsets.
+// Requires one answer per request: offsets do not distinguish tokens of several answers.
 void check_single_answer(const json::object& object)
 {
   for (const std::string_view name : {"n", "best_of"}) {
     const auto* value = object.if_contains(name);
     if (value != nullptr && !value->is_null() && *value != json::value(1)) {
-      refuse(name, "must be 1");
+      throw_invalid_request(name, "must be 1");
     }
   }
 }
@@ -86,7 +87,7 @@
 {
   for (const auto name : reserved_fields) {
     if (object.contains(name)) {
-      refuse(name, "may not be set by callers");
+      throw_invalid_request(name, "may not be set by callers");
     }
   }
 }
@@ -106,7 +107,7 @@
   const auto object = parse_object(body);
   request.model = model_id(required_string(object, "model"));
   if (request.model.empty()) {
-    refuse("model", "must not be empty");
+    throw_invalid_request("model", "must not be empty");
   }
   request.prompt = required_string(object, "prompt");
   if (request.prompt.size() > limits.max_prompt_bytes) {
@@ -122,16 +123,17 @@
   return request;
 }
 
-std::string render_engine_body(const completion_request& request, const engine_call& call)
+std::string render_engine_body(const completion_request& request,
+                               const attempt_parameters& parameters)
 {
   auto object = parse_object(request.body);
-  object["model"] = call.model;
+  object["model"] = parameters.model;
   object["max_tokens"] = request.max_tokens;
   object["stream"] = true;
-  object["priority"] = call.priority;
-  if (call.resume_tokens > 0) {
-    object["resume_tokens"] = call.resume_tokens;
-    object["resume_text"] = call.resume_text;
+  object["priority"] = parameters.priority;
+  if (parameters.resume_tokens > 0) {
+    object["resume_tokens"] = parameters.resume_tokens;
+    object["resume_text"] = parameters.resume_text;
   }
   return json::serialize(object);
 }
--- a/src/requests/life_context.cc
+++ b/src/requests/life_context.cc
@@ -15,78 +15,79 @@
 
 } // namespace
 
-life_context::life_context(request_life_options options, handed_over_state state)
+lifecycle_context::lifecycle_context(request_lifecycle_options options, handed_over_state state)
     : options_(std::move(options)), from_peer_(state.attempt > 0), attempt_(state.attempt),
-      ran_(state.dispatched), claim_nonce_(state.claim_nonce), transfer_(std::move(state.transfer)),
-      transfer_usable_(transfer_.has_value()), assembler_(std::move(state.tokens)),
-      caller_connected_(options_.caller_connected)
+      earlier_attempt_may_have_run_(state.dispatched), claim_nonce_(state.claim_nonce),
+      transfer_(std::move(state.transfer)), transfer_usable_(transfer_.has_value()),
+      assembler_(std::move(state.tokens)), caller_connected_(options_.caller_connected)
 {
-  // Nobody may be left without the outcome of a request that must not be sent again.
+  // The caller of a non-idempotent request cannot send it again to learn the outcome, so the
+  // outcome is kept.
   options_.keyed = options_.keyed || !options_.idempotent;
 }
 
-void life_context::begin(const clock_reading& now)
+void lifecycle_context::begin_event(const clock_reading& now)
 {
   now_ = now;
   actions_.clear();
 }
 
-std::vector<request_action> life_context::take_actions()
+std::vector<request_action> lifecycle_context::take_actions()
 {
   return std::exchange(actions_, {});
 }
 
-std::uint64_t life_context::recomputed_tokens() const
+std::uint64_t lifecycle_context::recomputed_tokens() const
 {
-  return recomputed_ + recomputed_estimate_;
+  return recomputed_closed_ + recomputed_open_estimate_;
 }
 
-bool life_context::is_current(attempt_number attempt) const
+bool lifecycle_context::is_current(attempt_number attempt) const
 {
   return attempt_open_ && attempt == attempt_;
 }
 
-bool life_context::needs_claim() const
+bool lifecycle_context::needs_claim() const
 {
   return !options_.idempotent && claim_nonce_ == 0;
 }
 
-bool life_context::is_retryable(int status)
+bool lifecycle_context::is_retryable(int status)
 {
   return status == status_too_many_requests || status == status_bad_gateway ||
          status == status_unavailable || status == status_gateway_timeout;
 }
 
-bool life_context::may_start() const
+bool lifecycle_context::may_start_attempt() const
 {
-  return options_.idempotent || transfer_usable_ || !ran_;
+  return options_.idempotent || transfer_usable_ || !earlier_attempt_may_have_run_;
 }
 
-bool life_context::may_have_run() const
+bool lifecycle_context::may_have_run() const
 {
-  return ran_ || attempt_open_ || handed_over_;
+  return earlier_attempt_may_have_run_ || attempt_open_ || handed_over_;
 }
 
-void life_context::claim()
+void lifecycle_context::claim()
 {
   emit(claim_key{});
 }
 
-void life_context::start()
+void lifecycle_context::start_next_attempt()
 {
   cancel_open_attempt();
   ++attempt_;
   attempt_open_ = true;
-  announced_ = false;
+  reclaim_announced_ = false;
   endpoint_ = {};
   body_.clear();
-  error_.reset();
-  assembler_.drop_held();
+  endpoint_error_.reset();
+  assembler_.drop_buffered();
   const auto next = assembler_.next_offset();
   if (transfer_) {
-    recomputed_estimate_ = next > transfer_->tokens ? next - transfer_->tokens : 0;
+    recomputed_open_estimate_ = next > transfer_->tokens ? next - transfer_->tokens : 0;
   } else {
-    recomputed_estimate_ = next > 0 ? options_.prompt_tokens + next : 0;
+    recomputed_open_estimate_ = next > 0 ? options_.prompt_tokens + next : 0;
   }
   emit(start_attempt{.attempt = attempt_,
                      .exclude = excluded_,
@@ -95,118 +96,118 @@
                      .transfer = transfer_});
 }
 
-void life_context::ask_for_retry()
+void lifecycle_context::ask_for_retry()
 {
   ++retries_;
   emit(ask_retry{attempt_});
 }
 
-void life_context::export_cache()
+void lifecycle_context::export_cache()
 {
   emit(export_kv{.attempt = attempt_, .from = endpoint_});
 }
 
-void life_context::cancel_with_confirmation()
+void lifecycle_context::cancel_with_confirmation()
 {
   emit(cancel_attempt{.attempt = attempt_, .confirm = true});
 }
 
-void life_context::hand_over_to_peer()
+void lifecycle_context::hand_over_to_peer()
 {
   handed_over_ = true;
   hand_over_after_cancel_ = false;
   emit(hand_over{handed_over_state{.attempt = attempt_,
                                    .tokens = assembler_.tokens(),
-                                   .dispatched = ran_ || attempt_open_,
+                                   .dispatched = earlier_attempt_may_have_run_ || attempt_open_,
                                    .claim_nonce = claim_nonce_,
                                    .transfer = transfer_}});
 }
 
-void life_context::resume_after_hand_over()
+void lifecycle_context::resume_after_refused_handover()
 {
   handed_over_ = false;
   if (!attempt_open_) {
-    start();
+    start_next_attempt();
   }
 }
 
-void life_context::note_endpoint(const endpoint_id& endpoint)
+void lifecycle_context::set_endpoint(const endpoint_id& endpoint)
 {
   endpoint_ = endpoint;
 }
 
-void life_context::note_announced_reclaim()
+void lifecycle_context::record_announced_reclaim()
 {
-  announced_ = true;
+  reclaim_announced_ = true;
   excluded_.insert(endpoint_);
 }
 
-void life_context::note_export(const kv_exported& event)
+void lifecycle_context::record_export(const kv_exported& event)
 {
   transfer_ = kv_transfer{.handle = event.handle, .from = endpoint_, .tokens = event.tokens};
   transfer_usable_ = false;
 }
 
-void life_context::note_cancel_confirmed()
+void lifecycle_context::record_cancel_confirmed()
 {
   transfer_usable_ = true;
   close_attempt();
 }
 
-void life_context::note_move_failed()
+void lifecycle_context::abandon_move()
 {
   transfer_.reset();
   transfer_usable_ = false;
   hand_over_after_cancel_ = false;
 }
 
-void life_context::note_import_used()
+void lifecycle_context::discard_transfer()
 {
   transfer_.reset();
   transfer_usable_ = false;
 }
 
-void life_context::note_failure(const attempt_failed& event)
+void lifecycle_context::record_failure(const attempt_failed& event)
 {
   const bool nothing_sent =
       event.kind == failure_kind::no_endpoint || event.kind == failure_kind::connect_failed;
   if (nothing_sent) {
     attempt_open_ = false;
-    recomputed_estimate_ = 0;
+    recomputed_open_estimate_ = 0;
   } else {
-    note_broken();
+    close_interrupted_attempt();
   }
   if (event.kind == failure_kind::endpoint_status) {
-    error_ = event.response;
+    endpoint_error_ = event.response;
   }
 }
 
-void life_context::note_broken()
+void lifecycle_context::close_interrupted_attempt()
 {
-  // A cache handle is good for one import only.
+  // A KV cache handle can be imported only once.
   transfer_.reset();
   transfer_usable_ = false;
   close_attempt();
 }
 
-void life_context::abandon_attempt()
+void lifecycle_context::abandon_attempt()
 {
   cancel_open_attempt();
   transfer_.reset();
   transfer_usable_ = false;
 }
 
-void life_context::close_attempt()
+void lifecycle_context::close_attempt()
 {
   attempt_open_ = false;
-  ran_ = true;
-  recomputed_ += std::exchange(recomputed_estimate_, 0);
+  earlier_attempt_may_have_run_ = true;
+  recomputed_closed_ += std::exchange(recomputed_open_estimate_, 0);
   if (!endpoint_.empty()) {
     excluded_.insert(endpoint_);
   }
 }
 
-void life_context::cancel_open_attempt()
+void lifecycle_context::cancel_open_attempt()
 {
   if (!attempt_open_) {
     return;
@@ -215,16 +216,16 @@
   close_attempt();
 }
 
-chunk_result life_context::note_token(const token_arrived& event)
+token_result lifecycle_context::add_token(const token_arrived& event)
 {
   const auto result = assembler_.accept(event.offset, event.text);
-  if (result == chunk_result::appended) {
+  if (result == token_result::appended) {
     send_new_tokens();
   }
   return result;
 }
 
-bool life_context::note_body(const body_arrived& event)
+bool lifecycle_context::append_body(const body_arrived& event)
 {
   if (body_.size() + event.bytes.size() > options_.max_body_bytes) {
     return false;
@@ -233,28 +234,29 @@
   return true;
 }
 
-void life_context::note_caller_back(const caller_back& event)
+void lifecycle_context::record_caller_reconnected(const caller_reconnected& event)
 {
   caller_connected_ = true;
   head_sent_ = false;
-  caller_next_ = event.last_offset ? *event.last_offset + 1 : 0;
+  caller_next_offset_ = event.last_offset ? *event.last_offset + 1 : 0;
   if (assembler_.next_offset() > 0) {
     send_new_tokens();
   }
 }
 
-void life_context::send_new_tokens()
+void lifecycle_context::send_new_tokens()
 {
   if (!options_.streamed || !caller_connected_) {
     return;
   }
   send_stream_head();
-  for (; caller_next_ < assembler_.next_offset(); ++caller_next_) {
-    emit(send_token{.offset = caller_next_, .text = assembler_.tokens()[caller_next_]});
+  for (; caller_next_offset_ < assembler_.next_offset(); ++caller_next_offset_) {
+    emit(send_token{.offset = caller_next_offset_,
+                    .text = assembler_.tokens()[caller_next_offset_]});
   }
 }
 
-void life_context::send_stream_head()
+void lifecycle_context::send_stream_head()
 {
   if (head_sent_) {
     return;
@@ -263,32 +265,32 @@
   emit(send_head{.status = status_ok, .fields = {{"Content-Type", "text/event-stream"}}});
 }
 
-// `repeatable` tells that the caller does better to send an idempotent request again under its key
-// than to get this result once more.
-void life_context::keep(bool repeatable)
+// `resend_is_better`: a caller that sends an idempotent request again under its key should have it
+// run again instead of getting the same result from the store.
+void lifecycle_context::emit_keep_answer(bool resend_is_better)
 {
-  if (options_.keyed && !(repeatable && options_.idempotent)) {
+  if (options_.keyed && !(resend_is_better && options_.idempotent)) {
     emit(keep_answer{now_.wall + options_.retention});
   }
 }
 
-void life_context::end(const outcome& result)
+void lifecycle_context::finish_with(const outcome& result)
 {
   cancel_open_attempt();
   if (std::holds_alternative<outcome_unknown>(result)) {
-    keep(true);
+    emit_keep_answer(true);
   }
   emit(finish{.result = result, .head_sent = head_sent_});
 }
 
-void life_context::end_answered(const attempt_finished& event)
+void lifecycle_context::finish_answered(const attempt_finished& event)
 {
   attempt_open_ = false;
-  recomputed_ +=
-      event.usage.recomputed_tokens > 0 ? event.usage.recomputed_tokens : recomputed_estimate_;
-  recomputed_estimate_ = 0;
+  recomputed_closed_ +=
+      event.usage.recomputed_tokens > 0 ? event.usage.recomputed_tokens : recomputed_open_estimate_;
+  recomputed_open_estimate_ = 0;
   auto usage = event.usage;
-  usage.recomputed_tokens = recomputed_;
+  usage.recomputed_tokens = recomputed_closed_;
   int status = status_ok;
   if (!options_.generation) {
     status = head_ ? head_->status : status_ok;
@@ -304,36 +306,37 @@
   } else {
     usage.completion_tokens = assembler_.next_offset();
     emit(send_head{.status = status_ok, .fields = {{"Content-Type", "application/json"}}});
-    emit(send_body{render_whole_answer({.request_id = options_.request_id,
-                                        .model = options_.model,
-                                        .text = assembler_.text(),
-                                        .finish_reason = event.finish_reason,
-                                        .usage = usage})});
+    emit(send_body{render_completion_response({.request_id = options_.request_id,
+                                               .model = options_.model,
+                                               .text = assembler_.text(),
+                                               .finish_reason = event.finish_reason,
+                                               .usage = usage})});
     head_sent_ = true;
   }
-  keep(false);
+  emit_keep_answer(false);
   emit(finish{.result = answered{status},
               .head_sent = head_sent_,
               .finish_reason = event.finish_reason,
               .usage = usage});
 }
 
-void life_context::end_with_endpoint_error(const response_parts& response)
+void lifecycle_context::finish_with_endpoint_error(const response_parts& response)
 {
   emit(send_head{.status = response.status, .fields = response.fields});
   emit(send_body{response.body});
-  keep(is_retryable(response.status));
+  emit_keep_answer(is_retryable(response.status));
   emit(finish{.result = answered{response.status}, .head_sent = true});
 }
 
-void life_context::end_redirected(const std::string& address)
+void lifecycle_context::finish_redirected(const std::string& address)
 {
   cancel_open_attempt();
   emit(redirect{address});
 }
 
-outcome life_context::give_up(refusal_reason if_not_run, unknown_reason if_unknown,
-                              std::optional<wall_time> retry_at) const
+outcome lifecycle_context::outcome_without_answer(refusal_reason if_not_run,
+                                                  unknown_reason if_unknown,
+                                                  std::optional<wall_time> retry_at) const
 {
   if (may_have_run()) {
     return outcome_unknown{if_unknown};
--- a/src/requests/life_driver.cc
+++ b/src/requests/life_driver.cc
@@ -7,201 +7,204 @@
 
 } // namespace
 
-void life_driver::end(const outcome& result)
+void lifecycle_driver::finish_with(const outcome& result)
 {
-  context.end(result);
-  take(stop{});
+  context.finish_with(result);
+  fire(completed{});
 }
 
-void life_driver::progress()
+void lifecycle_driver::on_progress()
 {
-  if (in(life_stage::dispatched)) {
-    context.note_import_used();
+  if (is_in(lifecycle_stage::dispatched)) {
+    context.discard_transfer();
   }
-  take(progressed{});
+  fire(response_started{});
 }
 
-// The running attempt is over without an answer.
-void life_driver::lost(unknown_reason reason)
+// Handles the end of the running attempt without a complete answer.
+void lifecycle_driver::on_attempt_lost(unknown_reason reason)
 {
-  if (in(life_stage::handing_over)) {
-    return; // the peer decides; if it refuses, another attempt is made here
+  if (is_in(lifecycle_stage::handing_over)) {
+    return; // if the peer refuses the request, another attempt starts here
   }
-  if (!context.may_start()) {
-    end(outcome_unknown{reason});
-  } else if (context.announced()) {
-    take(restart{}); // an announced reclaim must not hurt, whatever the retry budget
+  if (!context.may_start_attempt()) {
+    finish_with(outcome_unknown{reason});
+  } else if (context.is_reclaim_announced()) {
+    fire(retry_now{}); // a reclaim with notice must not fail the request, even without retry budget
   } else if (context.retries_left()) {
-    take(attempt_lost{});
+    fire(attempt_lost{});
   } else if (context.endpoint_error() && context.answer().next_offset() == 0) {
-    context.end_with_endpoint_error(*context.endpoint_error());
-    take(stop{});
+    context.finish_with_endpoint_error(*context.endpoint_error());
+    fire(completed{});
   } else {
-    end(context.give_up(refusal_reason::no_endpoint, unknown_reason::retries_exhausted));
+    finish_with(context.outcome_without_answer(refusal_reason::no_endpoint,
+                                               unknown_reason::retries_exhausted));
   }
 }
 
-void life_driver::operator()(const admission_granted&)
+void lifecycle_driver::operator()(const admission_granted&)
 {
-  if (in(life_stage::received) && !context.needs_claim() && !context.may_start()) {
-    end(outcome_unknown{unknown_reason::earlier_run_lost});
+  if (is_in(lifecycle_stage::received) && !context.needs_claim() && !context.may_start_attempt()) {
+    finish_with(outcome_unknown{unknown_reason::earlier_run_lost});
     return;
   }
-  take(admit{});
+  fire(admitted{});
 }
 
-void life_driver::operator()(const admission_refused& event)
+void lifecycle_driver::operator()(const admission_refused& event)
 {
-  if (!in(life_stage::received)) {
+  if (!is_in(lifecycle_stage::received)) {
     return;
   }
   if (context.may_have_run()) {
-    end(outcome_unknown{unknown_reason::earlier_run_lost});
+    finish_with(outcome_unknown{unknown_reason::earlier_run_lost});
     return;
   }
-  end(refused_not_run{event.reason, event.retry_at, event.message});
+  finish_with(refused_not_run{event.reason, event.retry_at, event.message});
 }
 
-void life_driver::operator()(const claim_granted& event)
+void lifecycle_driver::operator()(const claim_granted& event)
 {
-  if (in(life_stage::claiming)) {
-    context.note_claim(event.nonce);
-    take(claimed{});
+  if (is_in(lifecycle_stage::claiming)) {
+    context.set_claim_nonce(event.nonce);
+    fire(claimed{});
   }
 }
 
-void life_driver::operator()(const claim_duplicate& event)
+void lifecycle_driver::operator()(const claim_duplicate& event)
 {
-  if (!in(life_stage::claiming)) {
+  if (!is_in(lifecycle_stage::claiming)) {
     return;
   }
   switch (event.state) {
   case duplicate_state::answered_elsewhere:
   case duplicate_state::in_flight_elsewhere:
-    context.end_redirected(event.address);
-    take(stop{});
+    context.finish_redirected(event.address);
+    fire(completed{});
     break;
   case duplicate_state::outcome_unknown:
-    end(outcome_unknown{unknown_reason::earlier_run_lost});
+    finish_with(outcome_unknown{unknown_reason::earlier_run_lost});
     break;
   case duplicate_state::body_mismatch:
-    end(invalid{status_conflict, "Idempotency-Key: was used before with another body"});
+    finish_with(invalid{status_conflict, "Idempotency-Key: was used before with another body"});
     break;
   case duplicate_state::key_too_old:
-    end(outcome_unknown{unknown_reason::key_too_old});
+    finish_with(outcome_unknown{unknown_reason::key_too_old});
     break;
   }
 }
 
-void life_driver::operator()(const claim_unavailable& event)
+void lifecycle_driver::operator()(const claim_unavailable& event)
 {
-  if (in(life_stage::claiming)) {
-    end(refused_not_run{refusal_reason::store_unavailable, event.retry_at, ""});
+  if (is_in(lifecycle_stage::claiming)) {
+    finish_with(refused_not_run{refusal_reason::store_unavailable, event.retry_at, ""});
   }
 }
 
-void life_driver::operator()(const attempt_started& event)
+void lifecycle_driver::operator()(const attempt_started& event)
 {
   if (context.is_current(event.attempt) && context.endpoint().empty()) {
-    context.note_endpoint(event.endpoint);
+    context.set_endpoint(event.endpoint);
   }
 }
 
-void life_driver::operator()(const attempt_head& event)
+void lifecycle_driver::operator()(const attempt_head& event)
 {
   if (context.is_current(event.attempt)) {
-    context.note_head(event);
-    progress();
+    context.record_head(event);
+    on_progress();
   }
 }
 
-void life_driver::operator()(const token_arrived& event)
+void lifecycle_driver::operator()(const token_arrived& event)
 {
   if (!context.is_current(event.attempt)) {
     return;
   }
-  const auto result = context.note_token(event);
-  progress();
-  if (result == chunk_result::gap_too_wide && !in(life_stage::cancelling)) {
+  const auto result = context.add_token(event);
+  on_progress();
+  if (result == token_result::gap_too_wide && !is_in(lifecycle_stage::cancelling)) {
     context.abandon_attempt();
-    lost(unknown_reason::answer_incomplete);
+    on_attempt_lost(unknown_reason::answer_incomplete);
   }
 }
 
-void life_driver::operator()(const body_arrived& event)
+void lifecycle_driver::operator()(const body_arrived& event)
 {
   if (!context.is_current(event.attempt)) {
     return;
   }
-  if (!context.note_body(event)) {
-    end(outcome_unknown{unknown_reason::answer_too_large});
+  if (!context.append_body(event)) {
+    finish_with(outcome_unknown{unknown_reason::answer_too_large});
     return;
   }
-  progress();
+  on_progress();
 }
 
-void life_driver::operator()(const attempt_finished& event)
+void lifecycle_driver::operator()(const attempt_finished& event)
 {
   if (!context.is_current(event.attempt)) {
     return;
   }
-  const bool cut = context.options().generation && event.finish_reason.empty();
-  const bool short_of_tokens =
+  const bool no_finish_reason = context.options().generation && event.finish_reason.empty();
+  const bool tokens_missing =
       context.options().generation && event.tokens > context.answer().next_offset();
-  if (!cut && !short_of_tokens) {
-    context.end_answered(event);
-    take(stop{});
+  if (!no_finish_reason && !tokens_missing) {
+    context.finish_answered(event);
+    fire(completed{});
     return;
   }
-  if (in(life_stage::cancelling)) {
-    context.note_stopped();
+  if (is_in(lifecycle_stage::cancelling)) {
+    context.close_stopped_attempt();
     return;
   }
-  context.note_broken();
-  lost(cut ? unknown_reason::connection_lost : unknown_reason::answer_incomplete);
+  context.close_interrupted_attempt();
+  on_attempt_lost(no_finish_reason ? unknown_reason::connection_lost
+                                   : unknown_reason::answer_incomplete);
 }
 
-void life_driver::operator()(const attempt_failed& event)
+void lifecycle_driver::operator()(const attempt_failed& event)
 {
   if (!context.is_current(event.attempt)) {
     return;
   }
-  if (in(life_stage::cancelling)) {
-    context.note_stopped(); // what the cancel is expected to do; its confirmation decides
+  if (is_in(lifecycle_stage::cancelling)) {
+    // Expected after the cancel; the confirmation of the cancel decides what follows.
+    context.close_stopped_attempt();
     return;
   }
-  context.note_failure(event);
-  const bool is_answer =
+  context.record_failure(event);
+  const bool is_final_response =
       event.kind == failure_kind::endpoint_status && context.answer().next_offset() == 0 &&
-      !(context.options().idempotent && life_context::is_retryable(event.response.status));
-  if (is_answer) {
-    context.end_with_endpoint_error(event.response);
-    take(stop{});
+      !(context.options().idempotent && lifecycle_context::is_retryable(event.response.status));
+  if (is_final_response) {
+    context.finish_with_endpoint_error(event.response);
+    fire(completed{});
     return;
   }
-  lost(event.kind == failure_kind::timed_out ? unknown_reason::timed_out
-                                             : unknown_reason::connection_lost);
+  on_attempt_lost(event.kind == failure_kind::timed_out ? unknown_reason::timed_out
+                                                        : unknown_reason::connection_lost);
 }
 
-void life_driver::operator()(const retry_granted&)
+void lifecycle_driver::operator()(const retry_granted&)
 {
-  if (in(life_stage::resuming)) {
-    take(restart{});
+  if (is_in(lifecycle_stage::resuming)) {
+    fire(retry_now{});
   }
 }
 
-void life_driver::operator()(const retry_denied& event)
+void lifecycle_driver::operator()(const retry_denied& event)
 {
-  if (!in(life_stage::resuming)) {
+  if (!is_in(lifecycle_stage::resuming)) {
     return;
   }
   if (context.endpoint_error() && context.answer().next_offset() == 0) {
-    context.end_with_endpoint_error(*context.endpoint_error());
-    take(stop{});
+    context.finish_with_endpoint_error(*context.endpoint_error());
+    fire(completed{});
     return;
   }
-  end(context.give_up(refusal_reason::no_endpoint, unknown_reason::retries_exhausted,
-                      event.retry_at));
+  finish_with(context.outcome_without_answer(refusal_reason::no_endpoint,
+                                             unknown_reason::retries_exhausted, event.retry_at));
 }
 
 } // namespace wisteriaflow::requests::internal
--- a/src/requests/life_driver.h
+++ b/src/requests/life_driver.h
@@ -1,6 +1,7 @@
-// Works out what each raw event means for a request's life, and steps its state machine.
+// Event handlers of a request: each interprets an event, updates the context and fires the
+// state machine's trigger for it.
 //
-// One handler an event, called by std::visit.
+// There is one overload of the call operator per event, for std::visit.
 
 #ifndef WISTERIAFLOW_REQUESTS_LIFE_DRIVER_H_
 #define WISTERIAFLOW_REQUESTS_LIFE_DRIVER_H_
@@ -12,17 +13,17 @@
 
 namespace wisteriaflow::requests::internal {
 
-class life_driver {
+class lifecycle_driver {
  public:
-  life_driver(request_life_options options, handed_over_state state)
+  lifecycle_driver(request_lifecycle_options options, handed_over_state state)
       : context(std::move(options), std::move(state))
   {
     states_.context = &context;
     states_.start();
   }
-  life_driver(const life_driver&) = delete;
-  life_driver& operator=(const life_driver&) = delete;
-  ~life_driver() = default;
+  lifecycle_driver(const lifecycle_driver&) = delete;
+  lifecycle_driver& operator=(const lifecycle_driver&) = delete;
+  ~lifecycle_driver() = default;
 
   void operator()(const admission_granted& event);
   void operator()(const admission_refused& event);
@@ -37,31 +38,31 @@
   void operator()(const attempt_failed& event);
   void operator()(const retry_granted& event);
   void operator()(const retry_denied& event);
-  void operator()(const endpoint_leaving& event);
+  void operator()(const reclaim_announced& event);
   void operator()(const kv_exported& event);
   void operator()(const kv_export_failed& event);
   void operator()(const cancel_confirmed& event);
   void operator()(const cancel_failed& event);
-  void operator()(const caller_gone& event);
-  void operator()(const caller_back& event);
+  void operator()(const caller_disconnected& event);
+  void operator()(const caller_reconnected& event);
   void operator()(const deadline_passed& event);
   void operator()(const drain_started& event);
   void operator()(const handover_accepted& event);
   void operator()(const handover_refused& event);
 
-  [[nodiscard]] life_stage stage() const { return states_.stage; }
+  [[nodiscard]] lifecycle_stage stage() const { return states_.stage; }
 
-  life_context context;
+  lifecycle_context context;
 
  private:
-  template <typename step> void take(const step& it) { states_.process_event(it); }
-  [[nodiscard]] bool in(life_stage it) const { return states_.stage == it; }
-  void end(const outcome& result);
-  void progress();
-  void lost(unknown_reason reason);
-  void drain_to_peer();
+  template <typename trigger> void fire(const trigger& it) { states_.process_event(it); }
+  [[nodiscard]] bool is_in(lifecycle_stage it) const { return states_.stage == it; }
+  void finish_with(const outcome& result);
+  void on_progress();
+  void on_attempt_lost(unknown_reason reason);
+  void hand_over_for_drain();
 
-  life_machine states_;
+  lifecycle_machine states_;
 };
 
 } // namespace wisteriaflow::requests::internal
--- a/src/requests/life_driver_moves.cc
+++ b/src/requests/life_driver_moves.cc
@@ -1,16 +1,17 @@
-// Handlers of the events that move a request: reclaims, drains and callers that come and go.
+// Event handlers for reclaim notices, drains, handover to peers, and callers that disconnect and
+// reconnect.
 
 #include "life_driver.h"
 
 namespace wisteriaflow::requests::internal {
 
-void life_driver::operator()(const endpoint_leaving& event)
+void lifecycle_driver::operator()(const reclaim_announced& event)
 {
   if (!context.attempt_open() || event.endpoint.empty() || event.endpoint != context.endpoint()) {
     return;
   }
-  context.note_announced_reclaim();
-  const bool may_move = in(life_stage::dispatched) || in(life_stage::streaming);
+  context.record_announced_reclaim();
+  const bool may_move = is_in(lifecycle_stage::dispatched) || is_in(lifecycle_stage::streaming);
   if (!may_move || !context.options().generation) {
     return;
   }
@@ -18,133 +19,135 @@
   case move_choice::stay:
     break;
   case move_choice::move_kv:
-    take(move_cache{});
+    fire(move_kv_cache{});
     break;
   case move_choice::replay:
     context.abandon_attempt();
-    take(restart{});
+    fire(retry_now{});
     break;
   }
 }
 
-void life_driver::operator()(const kv_exported& event)
+void lifecycle_driver::operator()(const kv_exported& event)
 {
-  if (!in(life_stage::moving) || !context.is_current(event.attempt)) {
+  if (!is_in(lifecycle_stage::moving) || !context.is_current(event.attempt)) {
     return;
   }
-  context.note_export(event);
+  context.record_export(event);
   if (context.options().idempotent) {
-    take(restart{});
+    fire(retry_now{});
   } else {
-    take(cancel_run{});
+    fire(cancel_exported_attempt{});
   }
 }
 
-void life_driver::operator()(const kv_export_failed& event)
+void lifecycle_driver::operator()(const kv_export_failed& event)
 {
-  if (!in(life_stage::moving) || !context.is_current(event.attempt)) {
+  if (!is_in(lifecycle_stage::moving) || !context.is_current(event.attempt)) {
     return;
   }
-  context.note_move_failed();
+  context.abandon_move();
   if (context.options().idempotent) {
     context.abandon_attempt();
-    take(restart{});
+    fire(retry_now{});
   } else {
-    take(stay{});
+    fire(keep_running{});
   }
 }
 
-void life_driver::operator()(const cancel_confirmed& event)
+void lifecycle_driver::operator()(const cancel_confirmed& event)
 {
-  if (!in(life_stage::cancelling) || !context.is_last(event.attempt)) {
+  if (!is_in(lifecycle_stage::cancelling) || !context.is_latest(event.attempt)) {
     return;
   }
-  context.note_cancel_confirmed();
-  if (context.wants_hand_over()) {
-    take(give_to_peer{});
+  context.record_cancel_confirmed();
+  if (context.hand_over_after_cancel()) {
+    fire(begin_handover{});
   } else {
-    take(restart{});
+    fire(retry_now{});
   }
 }
 
-void life_driver::operator()(const cancel_failed& event)
+void lifecycle_driver::operator()(const cancel_failed& event)
 {
-  if (!in(life_stage::cancelling) || !context.is_last(event.attempt)) {
+  if (!is_in(lifecycle_stage::cancelling) || !context.is_latest(event.attempt)) {
     return;
   }
-  context.note_move_failed();
+  context.abandon_move();
   if (context.attempt_open()) {
-    take(stay{});
+    fire(keep_running{});
   } else {
-    end(outcome_unknown{unknown_reason::connection_lost});
+    finish_with(outcome_unknown{unknown_reason::connection_lost});
   }
 }
 
-void life_driver::operator()(const caller_gone&)
+void lifecycle_driver::operator()(const caller_disconnected&)
 {
-  context.note_caller_gone();
+  context.record_caller_disconnected();
   if (!context.options().keyed) {
-    end(context.give_up(refusal_reason::caller_gone, unknown_reason::caller_gone));
+    finish_with(
+        context.outcome_without_answer(refusal_reason::caller_gone, unknown_reason::caller_gone));
   }
 }
 
-void life_driver::operator()(const caller_back& event)
+void lifecycle_driver::operator()(const caller_reconnected& event)
 {
-  context.note_caller_back(event);
+  context.record_caller_reconnected(event);
 }
 
-void life_driver::operator()(const deadline_passed&)
+void lifecycle_driver::operator()(const deadline_passed&)
 {
-  end(context.give_up(refusal_reason::timed_out, unknown_reason::timed_out));
+  finish_with(context.outcome_without_answer(refusal_reason::timed_out, unknown_reason::timed_out));
 }
 
-void life_driver::operator()(const drain_started& event)
+void lifecycle_driver::operator()(const drain_started& event)
 {
-  if (in(life_stage::received) && !context.from_peer()) {
-    end(context.give_up(refusal_reason::draining, unknown_reason::earlier_run_lost));
+  if (is_in(lifecycle_stage::received) && !context.from_peer()) {
+    finish_with(
+        context.outcome_without_answer(refusal_reason::draining, unknown_reason::earlier_run_lost));
   } else if (event.hand_over) {
-    drain_to_peer();
+    hand_over_for_drain();
   }
 }
 
-void life_driver::drain_to_peer()
+void lifecycle_driver::hand_over_for_drain()
 {
-  if (in(life_stage::claiming) || in(life_stage::handing_over)) {
+  if (is_in(lifecycle_stage::claiming) || is_in(lifecycle_stage::handing_over)) {
     return;
   }
-  if (in(life_stage::cancelling)) {
-    context.note_hand_over_after_cancel();
+  if (is_in(lifecycle_stage::cancelling)) {
+    context.request_handover_after_cancel();
     return;
   }
   if (context.options().idempotent || !context.attempt_open()) {
-    take(give_to_peer{});
+    fire(begin_handover{});
     return;
   }
   if (!context.options().generation) {
-    return; // the one run of a plain call can only end here
+    return; // a non-idempotent plain call has one run, which cannot be moved
   }
-  context.note_hand_over_after_cancel();
-  take(move_cache{});
+  context.request_handover_after_cancel();
+  fire(move_kv_cache{});
 }
 
-void life_driver::operator()(const handover_accepted& event)
+void lifecycle_driver::operator()(const handover_accepted& event)
 {
-  if (in(life_stage::handing_over)) {
-    context.end_redirected(event.address);
-    take(stop{});
+  if (is_in(lifecycle_stage::handing_over)) {
+    context.finish_redirected(event.address);
+    fire(completed{});
   }
 }
 
-void life_driver::operator()(const handover_refused&)
+void lifecycle_driver::operator()(const handover_refused&)
 {
-  if (!in(life_stage::handing_over)) {
+  if (!is_in(lifecycle_stage::handing_over)) {
     return;
   }
-  if (!context.attempt_open() && !context.may_start()) {
-    end(outcome_unknown{unknown_reason::earlier_run_lost});
+  if (!context.attempt_open() && !context.may_start_attempt()) {
+    finish_with(outcome_unknown{unknown_reason::earlier_run_lost});
     return;
   }
-  take(stay{});
+  fire(keep_running{});
 }
 
 } // namespace wisteriaflow::requests::internal
--- a/src/requests/life_machine.h
+++ b/src/requests/life_machine.h
@@ -1,8 +1,8 @@
-// The stages of a request's life and the steps between them, as a Boost.MSM machine.
+// The stages of a request and the transitions between them, as a Boost.MSM state machine.
 //
-// Its events are few: `request_life` first works out what a raw event means (a failed attempt may
-// mean a retry, a move or the end) and then tells the machine. A step that the table does not list
-// for a stage is ignored there.
+// The events of this machine are called triggers here, as opposed to the request's events.
+// `lifecycle_driver` maps an event to a trigger: a failed attempt, for example, may mean a retry, a
+// move or the end of the request. A trigger that the table does not list for a stage is ignored.
 
 #ifndef WISTERIAFLOW_REQUESTS_LIFE_MACHINE_H_
 #define WISTERIAFLOW_REQUESTS_LIFE_MACHINE_H_
@@ -17,24 +17,24 @@
 
 namespace wisteriaflow::requests::internal {
 
-// Steps.
-struct admit {};        // admission let the request in
-struct claimed {};      // the key is ours
-struct progressed {};   // the endpoint answers
-struct attempt_lost {}; // another attempt is allowed, if the retry budget agrees
-struct restart {};      // another attempt is due at once
-struct move_cache {};   // export the KV cache of the running attempt
-struct stay {};         // go on with the running attempt
-struct cancel_run {};   // the cache is exported: stop the run that it continues
-struct give_to_peer {}; // hand the request over
-struct stop {};         // the final action has been written
+// Triggers.
+struct admitted {};                // admission control admitted the request
+struct claimed {};                 // this daemon has claimed the key
+struct response_started {};        // bytes of the endpoint's response have arrived
+struct attempt_lost {};            // another attempt may follow if the retry budget allows it
+struct retry_now {};               // start another attempt at once
+struct move_kv_cache {};           // export the KV cache of the running attempt
+struct keep_running {};            // continue with the running attempt
+struct cancel_exported_attempt {}; // the cache is exported: cancel the attempt that it came from
+struct begin_handover {};          // hand the request over to a peer
+struct completed {};               // the final action has been emitted
 
 namespace msm = boost::msm;
 using boost::msm::front::none;
 using boost::msm::front::Row;
 
 // Guards.
-struct must_claim {
+struct needs_claim_guard {
   template <typename event, typename machine, typename from, typename to>
   bool operator()(const event&, machine& m, from&, to&) const
   {
@@ -42,93 +42,93 @@
   }
 };
 
-// Actions: each calls the context's step of that name.
-template <void (life_context::*step)()> struct call {
+// A transition action that calls `method` of the context.
+template <void (lifecycle_context::*method)()> struct call {
   template <typename event, typename machine, typename from, typename to>
   void operator()(const event&, machine& m, from&, to&) const
   {
-    (m.context->*step)();
+    (m.context->*method)();
   }
 };
 
-template <life_stage stage> struct stage_state : msm::front::state<> {
+template <lifecycle_stage stage> struct stage_state : msm::front::state<> {
   template <typename event, typename machine> void on_entry(const event&, machine& m) const
   {
     m.stage = stage;
   }
 };
-using received = stage_state<life_stage::received>;
-using claiming = stage_state<life_stage::claiming>;
-using dispatched = stage_state<life_stage::dispatched>;
-using streaming = stage_state<life_stage::streaming>;
-using resuming = stage_state<life_stage::resuming>;
-using moving = stage_state<life_stage::moving>;
-using cancelling = stage_state<life_stage::cancelling>;
-using handing_over = stage_state<life_stage::handing_over>;
-using finished = stage_state<life_stage::finished>;
-
-struct life_machine_def : msm::front::state_machine_def<life_machine_def> {
+using received = stage_state<lifecycle_stage::received>;
+using claiming = stage_state<lifecycle_stage::claiming>;
+using dispatched = stage_state<lifecycle_stage::dispatched>;
+using streaming = stage_state<lifecycle_stage::streaming>;
+using resuming = stage_state<lifecycle_stage::resuming>;
+using moving = stage_state<lifecycle_stage::moving>;
+using cancelling = stage_state<lifecycle_stage::cancelling>;
+using handing_over = stage_state<lifecycle_stage::handing_over>;
+using finished = stage_state<lifecycle_stage::finished>;
+
+struct lifecycle_machine_def : msm::front::state_machine_def<lifecycle_machine_def> {
   using initial_state = received;
 
-  using claim_key_of_it = call<&life_context::claim>;
-  using start = call<&life_context::start>;
-  using ask = call<&life_context::ask_for_retry>;
-  using export_cache = call<&life_context::export_cache>;
-  using cancel = call<&life_context::cancel_with_confirmation>;
-  using hand = call<&life_context::hand_over_to_peer>;
-  using take_back = call<&life_context::resume_after_hand_over>;
-
-  struct transition_table
-      : boost::mpl::vector<
-            // stage, step, next stage, action, guard; of two rows for one step MSM tries the
-            // later first
-            Row<received, admit, dispatched, start, none>,
-            Row<received, admit, claiming, claim_key_of_it, must_claim>,
-            Row<received, give_to_peer, handing_over, hand, none>,
-            Row<received, stop, finished, none, none>,
-
-            Row<claiming, claimed, dispatched, start, none>,
-            Row<claiming, stop, finished, none, none>,
-
-            Row<dispatched, progressed, streaming, none, none>,
-            Row<dispatched, attempt_lost, resuming, ask, none>,
-            Row<dispatched, restart, dispatched, start, none>,
-            Row<dispatched, move_cache, moving, export_cache, none>,
-            Row<dispatched, give_to_peer, handing_over, hand, none>,
-            Row<dispatched, stop, finished, none, none>,
-
-            Row<streaming, attempt_lost, resuming, ask, none>,
-            Row<streaming, restart, dispatched, start, none>,
-            Row<streaming, move_cache, moving, export_cache, none>,
-            Row<streaming, give_to_peer, handing_over, hand, none>,
-            Row<streaming, stop, finished, none, none>,
-
-            Row<resuming, restart, dispatched, start, none>,
-            Row<resuming, give_to_peer, handing_over, hand, none>,
-            Row<resuming, stop, finished, none, none>,
-
-            Row<moving, attempt_lost, resuming, ask, none>,
-            Row<moving, restart, dispatched, start, none>, Row<moving, stay, streaming, none, none>,
-            Row<moving, cancel_run, cancelling, cancel, none>,
-            Row<moving, give_to_peer, handing_over, hand, none>,
-            Row<moving, stop, finished, none, none>,
-
-            Row<cancelling, restart, dispatched, start, none>,
-            Row<cancelling, stay, streaming, none, none>,
-            Row<cancelling, give_to_peer, handing_over, hand, none>,
-            Row<cancelling, stop, finished, none, none>,
-
-            Row<handing_over, stay, streaming, take_back, none>,
-            Row<handing_over, stop, finished, none, none>> {};
-
-  // A late or repeated event means nothing in this stage.
+  using request_claim = call<&lifecycle_context::claim>;
+  using start = call<&lifecycle_context::start_next_attempt>;
+  using request_retry = call<&lifecycle_context::ask_for_retry>;
+  using export_cache = call<&lifecycle_context::export_cache>;
+  using cancel = call<&lifecycle_context::cancel_with_confirmation>;
+  using send_handover = call<&lifecycle_context::hand_over_to_peer>;
+  using continue_locally = call<&lifecycle_context::resume_after_refused_handover>;
+
+  struct transition_table : boost::mpl::vector<
+                                // Columns: stage, trigger, next stage, action, guard. Of two rows
+                                // with the same stage and trigger, MSM tries the later one first.
+                                Row<received, admitted, dispatched, start, none>,
+                                Row<received, admitted, claiming, request_claim, needs_claim_guard>,
+                                Row<received, begin_handover, handing_over, send_handover, none>,
+                                Row<received, completed, finished, none, none>,
+
+                                Row<claiming, claimed, dispatched, start, none>,
+                                Row<claiming, completed, finished, none, none>,
+
+                                Row<dispatched, response_started, streaming, none, none>,
+                                Row<dispatched, attempt_lost, resuming, request_retry, none>,
+                                Row<dispatched, retry_now, dispatched, start, none>,
+                                Row<dispatched, move_kv_cache, moving, export_cache, none>,
+                                Row<dispatched, begin_handover, handing_over, send_handover, none>,
+                                Row<dispatched, completed, finished, none, none>,
+
+                                Row<streaming, attempt_lost, resuming, request_retry, none>,
+                                Row<streaming, retry_now, dispatched, start, none>,
+                                Row<streaming, move_kv_cache, moving, export_cache, none>,
+                                Row<streaming, begin_handover, handing_over, send_handover, none>,
+                                Row<streaming, completed, finished, none, none>,
+
+                                Row<resuming, retry_now, dispatched, start, none>,
+                                Row<resuming, begin_handover, handing_over, send_handover, none>,
+                                Row<resuming, completed, finished, none, none>,
+
+                                Row<moving, attempt_lost, resuming, request_retry, none>,
+                                Row<moving, retry_now, dispatched, start, none>,
+                                Row<moving, keep_running, streaming, none, none>,
+                                Row<moving, cancel_exported_attempt, cancelling, cancel, none>,
+                                Row<moving, begin_handover, handing_over, send_handover, none>,
+                                Row<moving, completed, finished, none, none>,
+
+                                Row<cancelling, retry_now, dispatched, start, none>,
+                                Row<cancelling, keep_running, streaming, none, none>,
+                                Row<cancelling, begin_handover, handing_over, send_handover, none>,
+                                Row<cancelling, completed, finished, none, none>,
+
+                                Row<handing_over, keep_running, streaming, continue_locally, none>,
+                                Row<handing_over, completed, finished, none, none>> {};
+
+  // Late and repeated triggers are ignored.
   template <typename machine, typename event> void no_transition(const event&, machine&, int) {}
 
-  life_context* context = nullptr;
-  life_stage stage = life_stage::received;
+  lifecycle_context* context = nullptr;
+  lifecycle_stage stage = lifecycle_stage::received;
 };
 
-using life_machine = msm::back::state_machine<life_machine_def>;
+using lifecycle_machine = msm::back::state_machine<lifecycle_machine_def>;
 
 } // namespace wisteriaflow::requests::internal
 
--- a/src/requests/request_life.cc
+++ b/src/requests/request_life.cc
@@ -6,52 +6,52 @@
 
 namespace wisteriaflow::requests {
 
-class request_life::machine : public internal::life_driver {
+class request_lifecycle::machine : public internal::lifecycle_driver {
  public:
-  using life_driver::life_driver;
+  using lifecycle_driver::lifecycle_driver;
 };
 
-request_life::request_life(request_life_options options)
-    : request_life(std::move(options), handed_over_state{})
+request_lifecycle::request_lifecycle(request_lifecycle_options options)
+    : request_lifecycle(std::move(options), handed_over_state{})
 {
 }
 
-request_life::request_life(request_life_options options, handed_over_state state)
+request_lifecycle::request_lifecycle(request_lifecycle_options options, handed_over_state state)
     : machine_(std::make_unique<machine>(std::move(options), std::move(state)))
 {
 }
 
-request_life::~request_life() = default;
-request_life::request_life(request_life&&) noexcept = default;
-request_life& request_life::operator=(request_life&&) noexcept = default;
+request_lifecycle::~request_lifecycle() = default;
+request_lifecycle::request_lifecycle(request_lifecycle&&) noexcept = default;
+request_lifecycle& request_lifecycle::operator=(request_lifecycle&&) noexcept = default;
 
-std::vector<request_action> request_life::handle(const request_event& event,
-                                                 const clock_reading& now)
+std::vector<request_action> request_lifecycle::handle(const request_event& event,
+                                                      const clock_reading& now)
 {
   if (finished()) {
     return {};
   }
-  machine_->context.begin(now);
-  std::visit(static_cast<internal::life_driver&>(*machine_), event);
+  machine_->context.begin_event(now);
+  std::visit(static_cast<internal::lifecycle_driver&>(*machine_), event);
   return machine_->context.take_actions();
 }
 
-life_stage request_life::stage() const
+lifecycle_stage request_lifecycle::stage() const
 {
   return machine_->stage();
 }
 
-const std::vector<std::string>& request_life::tokens() const
+const std::vector<std::string>& request_lifecycle::tokens() const
 {
   return machine_->context.answer().tokens();
 }
 
-std::uint64_t request_life::recomputed_tokens() const
+std::uint64_t request_lifecycle::recomputed_tokens() const
 {
   return machine_->context.recomputed_tokens();
 }
 
-const endpoint_id& request_life::endpoint() const
+const endpoint_id& request_lifecycle::endpoint() const
 {
   return machine_->context.endpoint();
 }
--- a/src/requests/sse_parser.cc
+++ b/src/requests/sse_parser.cc
@@ -13,7 +13,7 @@
 
 constexpr std::string_view end_of_stream = "[DONE]";
 
-std::uint64_t count_in(const json::object& object, std::string_view name)
+std::uint64_t read_count(const json::object& object, std::string_view name)
 {
   const auto* value = object.if_contains(name);
   if (value == nullptr) {
@@ -27,20 +27,20 @@
   return n;
 }
 
-token_usage usage_in(const json::object& event)
+token_usage read_usage(const json::object& event)
 {
   const auto* value = event.if_contains("usage");
   if (value == nullptr || !value->is_object()) {
     return {};
   }
   const auto& usage = value->get_object();
-  return {.prompt_tokens = count_in(usage, "prompt_tokens"),
-          .completion_tokens = count_in(usage, "completion_tokens"),
-          .cached_tokens = count_in(usage, "cached_tokens"),
-          .recomputed_tokens = count_in(usage, "recomputed_tokens")};
+  return {.prompt_tokens = read_count(usage, "prompt_tokens"),
+          .completion_tokens = read_count(usage, "completion_tokens"),
+          .cached_tokens = read_count(usage, "cached_tokens"),
+          .recomputed_tokens = read_count(usage, "recomputed_tokens")};
 }
 
-std::string string_in(const json::object& object, std::string_view name)
+std::string read_string(const json::object& object, std::string_view name)
 {
   const auto* value = object.if_contains(name);
   return value != nullptr && value->is_string() ? std::string(value->get_string()) : std::string();
@@ -85,15 +85,15 @@
     if (line_.ends_with('\r')) {
       line_.pop_back();
     }
-    take_line(std::exchange(line_, {}), events);
+    parse_line(std::exchange(line_, {}), events);
   }
   return events;
 }
 
-void sse_parser::take_line(std::string_view line, std::vector<engine_event>& events)
+void sse_parser::parse_line(std::string_view line, std::vector<engine_event>& events)
 {
   if (line.empty()) {
-    take_event(events);
+    dispatch_event(events);
     return;
   }
   const auto colon = line.find(':');
@@ -113,7 +113,7 @@
   }
 }
 
-void sse_parser::take_event(std::vector<engine_event>& events)
+void sse_parser::dispatch_event(std::vector<engine_event>& events)
 {
   const auto data = std::exchange(data_, {});
   const auto name = std::exchange(name_, {});
@@ -124,27 +124,27 @@
     throw stream_error("engine reported: " + data);
   }
   if (data == end_of_stream) {
-    events.emplace_back(engine_done{});
+    events.emplace_back(engine_stream_end{});
     return;
   }
   const auto event = parse_event(data);
   const auto& choice = first_choice(event);
-  auto text = string_in(choice, "text");
-  auto finish_reason = string_in(choice, "finish_reason");
-  // The last event may bring the last token as well, or only the reason.
+  auto text = read_string(choice, "text");
+  auto finish_reason = read_string(choice, "finish_reason");
+  // The event with the finish reason may also carry the last token.
   const bool is_token = !text.empty() || finish_reason.empty();
   if (is_token) {
     if (!event.contains("offset")) {
       throw stream_error("engine event: offset is missing");
     }
-    const auto offset = count_in(event, "offset");
+    const auto offset = read_count(event, "offset");
     next_offset_ = offset + 1;
     events.emplace_back(engine_token{.offset = offset, .text = std::move(text)});
   }
   if (!finish_reason.empty()) {
-    events.emplace_back(engine_end{.tokens = next_offset_,
-                                   .finish_reason = std::move(finish_reason),
-                                   .usage = usage_in(event)});
+    events.emplace_back(engine_finish{.tokens = next_offset_,
+                                      .finish_reason = std::move(finish_reason),
+                                      .usage = read_usage(event)});
   }
 }
 
--- a/src/requests/stream_assembler.cc
+++ b/src/requests/stream_assembler.cc
@@ -9,24 +9,24 @@
 {
 }
 
-chunk_result stream_assembler::accept(std::uint64_t offset, std::string text)
+token_result stream_assembler::accept(std::uint64_t offset, std::string text)
 {
-  if (offset < next_offset() || held_.contains(offset)) {
-    return chunk_result::duplicate;
+  if (offset < next_offset() || buffered_.contains(offset)) {
+    return token_result::duplicate;
   }
   if (offset > next_offset()) {
-    if (held_.size() >= window_) {
-      return chunk_result::gap_too_wide;
+    if (buffered_.size() >= window_) {
+      return token_result::gap_too_wide;
     }
-    held_.emplace(offset, std::move(text));
-    return chunk_result::held;
+    buffered_.emplace(offset, std::move(text));
+    return token_result::buffered;
   }
   tokens_.push_back(std::move(text));
-  for (auto it = held_.begin(); it != held_.end() && it->first == next_offset();) {
+  for (auto it = buffered_.begin(); it != buffered_.end() && it->first == next_offset();) {
     tokens_.push_back(std::move(it->second));
-    it = held_.erase(it);
+    it = buffered_.erase(it);
   }
-  return chunk_result::appended;
+  return token_result::appended;
 }
 
 std::string stream_assembler::text() const
--- a/test/requests/answer_store_test.cc
+++ b/test/requests/answer_store_test.cc
@@ -40,9 +40,9 @@
 {
   answer_store store;
   store.open(key, body, "r1");
-  EXPECT_EQ(store.open(key, hash128_of("other"), "r2"), open_result(body_differs{}));
+  EXPECT_EQ(store.open(key, hash128_of("other"), "r2"), open_result(body_mismatch{}));
   store.keep(key, body, answer_of("a"), at_second(9));
-  EXPECT_EQ(store.open(key, hash128_of("other"), "r2"), open_result(body_differs{}));
+  EXPECT_EQ(store.open(key, hash128_of("other"), "r2"), open_result(body_mismatch{}));
 }
 
 TEST(AnswerStoreTest, SeparatesWorkspaces)
@@ -52,14 +52,14 @@
   EXPECT_EQ(store.open({workspace_id("hotels"), "k1"}, body, "r2"), open_result(run_opened{}));
 }
 
-TEST(AnswerStoreTest, GivesTheKeptAnswerUntilItsDeadline)
+TEST(AnswerStoreTest, ReturnsAKeptAnswerUntilItsDeadline)
 {
   answer_store store;
   store.keep(key, body, answer_of("a"), at_second(9));
   store.expire(at_second(8));
   EXPECT_EQ(store.find(key), find_result(answer_found{answer_of("a")}));
   store.expire(at_second(9));
-  EXPECT_EQ(store.find(key), find_result(not_known{}));
+  EXPECT_EQ(store.find(key), find_result(key_not_found{}));
   EXPECT_EQ(store.bytes(), 0U);
 }
 
@@ -80,7 +80,7 @@
   store.keep(key, body, answer_of("a"), at_second(9));
   store.keep(second, body, answer_of("b"), at_second(5));
   store.keep(third, body, answer_of("c"), at_second(7));
-  EXPECT_EQ(store.find(second), find_result(not_known{}));
+  EXPECT_EQ(store.find(second), find_result(key_not_found{}));
   EXPECT_EQ(store.find(key), find_result(answer_found{answer_of("a")}));
   EXPECT_EQ(store.bytes(), 2 * size);
 }
@@ -89,7 +89,7 @@
 {
   answer_store store({.max_bytes = 1000});
   store.keep(key, body, answer_of(std::string(2000, 'x')), at_second(9));
-  EXPECT_EQ(store.find(key), find_result(not_known{}));
+  EXPECT_EQ(store.find(key), find_result(key_not_found{}));
 }
 
 TEST(AnswerStoreTest, BoundsRunsInFlight)
@@ -99,12 +99,12 @@
   EXPECT_EQ(store.open({key.workspace, "k2"}, body, "r2"), open_result(store_full{}));
 }
 
-TEST(AnswerStoreTest, ListsWhatItKeepsLatestDeadlineFirst)
+TEST(AnswerStoreTest, ListsKeptAnswersLatestDeadlineFirst)
 {
   answer_store store;
   store.keep(key, body, answer_of("a"), at_second(5));
   store.keep({key.workspace, "k2"}, body, answer_of("b"), at_second(9));
-  const auto all = store.kept();
+  const auto all = store.kept_answers();
   ASSERT_EQ(all.size(), 2U);
   EXPECT_EQ(all.front().key.key, "k2");
 }
--- a/test/requests/completion_request_test.cc
+++ b/test/requests/completion_request_test.cc
@@ -13,7 +13,7 @@
 
 const clock_reading now{mono_time{std::chrono::seconds(5)}, from_unix_ms(1'700'000'000'000)};
 const std::string good_body = R"({"model":"m","prompt":"hello","max_tokens":8,"seed":42})";
-// A version 7 UUID made at `now`.
+// A version 7 UUID whose timestamp is `now`.
 const std::string uuid = "018bcfe5-6800-7000-8000-000000000001";
 
 std::vector<header_field> headers_with(std::vector<header_field> more = {})
@@ -28,7 +28,7 @@
   return parse_completion_request(fields, body, now, limits);
 }
 
-// The error of a request, as "status field".
+// The error of an invalid request as "<status> <header or field>", or "none".
 std::string error_of(const std::vector<header_field>& fields, const std::string& body = good_body,
                      const call_limits& limits = {})
 {
@@ -55,7 +55,7 @@
             (std::map<std::string, std::string>{{"tier", "door"}, {"hotel", "hn1"}}));
 }
 
-TEST(CompletionRequestTest, NamesTheHeaderAtFault)
+TEST(CompletionRequestTest, NamesTheInvalidHeader)
 {
   EXPECT_EQ(error_of({}), "400 Wisteriaflow-Workspace");
   for (const header_field& bad : std::vector<header_field>{{"Wisteriaflow-Labels", "tier"},
@@ -76,7 +76,7 @@
             "400 Wisteriaflow-Idempotent");
 }
 
-TEST(CompletionRequestTest, RequiresATimedKeyOfANonIdempotentRequest)
+TEST(CompletionRequestTest, RequiresAVersion7UuidKeyForANonIdempotentRequest)
 {
   const header_field mark{"Wisteriaflow-Idempotent", "false"};
   EXPECT_EQ(error_of(headers_with({mark})), "400 Idempotency-Key");
@@ -84,7 +84,7 @@
   EXPECT_EQ(parse(headers_with({mark, {"Idempotency-Key", uuid}})).headers.key_created, now.wall);
 }
 
-TEST(CompletionRequestTest, NamesTheFieldAtFault)
+TEST(CompletionRequestTest, NamesTheInvalidField)
 {
   const auto fields = headers_with();
   EXPECT_EQ(error_of(fields, "{"), "400 body");
@@ -97,7 +97,7 @@
   EXPECT_EQ(error_of(fields, R"({"model":"m","prompt":"x","resume_text":"y"})"), "400 resume_text");
 }
 
-TEST(CompletionRequestTest, RefusesWhatIsTooLarge)
+TEST(CompletionRequestTest, RefusesABodyOrPromptOverItsLimit)
 {
   EXPECT_EQ(error_of(headers_with(), good_body, {.max_body_bytes = 10}), "413 body");
   EXPECT_EQ(error_of(headers_with(), good_body, {.max_prompt_bytes = 4}), "413 prompt");
@@ -131,14 +131,14 @@
   EXPECT_EQ(header_of(response, "Wisteriaflow-Outcome"), "refused-not-run");
 }
 
-TEST(OutcomeTest, AsksForAtLeastOneSecond)
+TEST(OutcomeTest, SetsRetryAfterToAtLeastOneSecond)
 {
   const auto response = outcome_response(refused_not_run{}, now.wall);
   EXPECT_EQ(response.status, 503);
   EXPECT_EQ(header_of(response, "Retry-After"), "1");
 }
 
-TEST(OutcomeTest, SaysUnknownWith504)
+TEST(OutcomeTest, AnswersAnUnknownOutcomeWith504)
 {
   const auto response = outcome_response(outcome_unknown{unknown_reason::timed_out}, now.wall);
   EXPECT_EQ(response.status, 504);
--- a/test/requests/life_truth.h
+++ b/test/requests/life_truth.h
@@ -1,4 +1,5 @@
-// The reference answer, and what is true of an attempt, for the random world of a request's life.
+// The expected answer, the state of a simulated attempt and the source of random numbers for
+// `lifecycle_simulation`.
 
 #ifndef WISTERIAFLOW_TEST_REQUESTS_LIFE_TRUTH_H_
 #define WISTERIAFLOW_TEST_REQUESTS_LIFE_TRUTH_H_
@@ -25,7 +26,7 @@
   return text;
 }
 
-// Numbers of one script, taken from its front.
+// Takes the numbers of a random script one after another. An exhausted script yields 0.
 class script_reader {
  public:
   explicit script_reader(const std::vector<std::uint32_t>& script) : script_(script) {}
@@ -38,12 +39,13 @@
   std::size_t at_ = 0;
 };
 
-struct attempt_truth {
-  std::uint64_t next = 0; // token that the engine sends next
-  bool sent = false;      // bytes have reached the endpoint
-  bool dead = false;      // failed without a byte sent: it never will
-  bool over = false;      // the endpoint has ended the stream
-  bool stopped = false;   // cancelled, confirmed
+// State of an attempt as its endpoint knows it. The request under test sees only events.
+struct simulated_attempt {
+  std::uint64_t next_token = 0;  // offset of the token that the engine sends next
+  bool bytes_sent = false;       // bytes of the request have reached the endpoint
+  bool failed_unsent = false;    // failed before a byte was sent; none ever will be
+  bool stream_ended = false;     // the endpoint has ended the stream
+  bool cancel_succeeded = false; // the endpoint has confirmed a cancel
 };
 
 } // namespace wisteriaflow::requests
--- a/test/requests/life_world.h
+++ b/test/requests/life_world.h
@@ -1,5 +1,9 @@
-// A caller, endpoints and a peer around one request's life, driven by random numbers. This world
-// knows the truth (which attempts have sent bytes, what the caller has); the life only sees events.
+// Simulates the caller, the endpoints and a peer of one request, driven by random numbers.
+//
+// The simulation knows the actual state (which attempts have sent bytes, what the caller has
+// received), while the `request_lifecycle` under test only gets events. Every action is checked
+// against the actual state: a non-idempotent request never runs twice, the caller gets each token
+// once and in order, and there is exactly one final action.
 
 #ifndef WISTERIAFLOW_TEST_REQUESTS_LIFE_WORLD_H_
 #define WISTERIAFLOW_TEST_REQUESTS_LIFE_WORLD_H_
@@ -18,31 +22,40 @@
 
 namespace wisteriaflow::requests {
 
-class world {
+class lifecycle_simulation {
  public:
-  world(request_life_options options, script_reader& script)
-      : options_(options), script_(script), life_(std::move(options))
+  lifecycle_simulation(request_lifecycle_options options, script_reader& script)
+      : options_(options), script_(script), lifecycle_(std::move(options))
   {
   }
 
-  [[nodiscard]] bool finished() const { return finals_ > 0; }
+  [[nodiscard]] bool finished() const { return final_actions_ > 0; }
 
   void step()
   {
-    using step = void (world::*)();
-    struct weighted {
-      step call;
-      std::uint32_t weight; // common events weigh more, so that lives get far before they end
+    using step_method = void (lifecycle_simulation::*)();
+    struct weighted_step {
+      step_method call;
+      std::uint32_t weight; // frequent events weigh more, so that requests get far before they end
     };
-    static constexpr weighted steps[] = {
-        {&world::admit, 2},      {&world::claim, 1},      {&world::start, 2},
-        {&world::send, 1},       {&world::next_chunk, 6}, {&world::any_token, 2},
-        {&world::end_stream, 1}, {&world::fail, 1},       {&world::retry, 3},
-        {&world::leave, 2},      {&world::moved, 2},      {&world::cancel_told, 2},
-        {&world::caller, 2},     {&world::drain, 1},      {&world::peer, 1},
-        {&world::rare, 1}};
-    constexpr std::uint32_t weights = 30;
-    auto n = script_.below(weights);
+    static constexpr weighted_step steps[] = {{&lifecycle_simulation::admit, 2},
+                                              {&lifecycle_simulation::answer_claim, 1},
+                                              {&lifecycle_simulation::choose_endpoint, 2},
+                                              {&lifecycle_simulation::send_bytes, 1},
+                                              {&lifecycle_simulation::deliver_next_chunk, 6},
+                                              {&lifecycle_simulation::deliver_random_token, 2},
+                                              {&lifecycle_simulation::end_stream, 1},
+                                              {&lifecycle_simulation::fail_attempt, 1},
+                                              {&lifecycle_simulation::answer_retry_request, 3},
+                                              {&lifecycle_simulation::announce_reclaim, 2},
+                                              {&lifecycle_simulation::answer_export, 2},
+                                              {&lifecycle_simulation::answer_cancel, 2},
+                                              {&lifecycle_simulation::toggle_caller_connection, 2},
+                                              {&lifecycle_simulation::start_drain, 1},
+                                              {&lifecycle_simulation::answer_handover, 1},
+                                              {&lifecycle_simulation::deliver_rare_event, 1}};
+    constexpr std::uint32_t total_weight = 30;
+    auto n = script_.below(total_weight);
     const auto* it = steps;
     for (; n >= it->weight; ++it) {
       n -= it->weight;
@@ -52,55 +65,55 @@
 
   void end()
   {
-    tell(deadline_passed{});
-    RC_ASSERT(finals_ == 1);
-    RC_ASSERT(life_.finished());
+    deliver(deadline_passed{});
+    RC_ASSERT(final_actions_ == 1);
+    RC_ASSERT(lifecycle_.finished());
   }
 
  private:
-  void admit() { tell(admission_granted{}); }
+  void admit() { deliver(admission_granted{}); }
 
-  void claim()
+  void answer_claim()
   {
     if (script_.below(4) > 0) {
-      tell(claim_granted{7});
+      deliver(claim_granted{7});
     } else {
-      tell(claim_duplicate{.state = static_cast<duplicate_state>(script_.below(5))});
+      deliver(claim_duplicate{.state = static_cast<duplicate_state>(script_.below(5))});
     }
   }
 
-  void rare()
+  void deliver_rare_event()
   {
     switch (script_.below(4)) {
     case 0:
-      tell(admission_refused{});
+      deliver(admission_refused{});
       break;
     case 1:
-      tell(claim_unavailable{});
+      deliver(claim_unavailable{});
       break;
     case 2:
-      tell(deadline_passed{});
+      deliver(deadline_passed{});
       break;
     default:
-      tell(attempt_head{.attempt = any_attempt()});
+      deliver(attempt_head{.attempt = any_attempt()});
     }
   }
 
-  void start()
+  void choose_endpoint()
   {
     const auto n = last_attempt();
-    tell(attempt_started{n, endpoint_id("e" + std::to_string(n))});
+    deliver(attempt_started{n, endpoint_id("e" + std::to_string(n))});
   }
 
-  // Bytes reach the endpoint; the life hears nothing yet.
-  void send()
+  // Bytes reach the endpoint, without an event for the request.
+  void send_bytes()
   {
     if (auto* it = find(last_attempt())) {
-      it->sent = it->sent || !it->dead;
+      it->bytes_sent = it->bytes_sent || !it->failed_unsent;
     }
   }
 
-  attempt_truth* find(attempt_number n)
+  simulated_attempt* find(attempt_number n)
   {
     const auto it = attempts_.find(n);
     return it == attempts_.end() ? nullptr : &it->second;
@@ -108,181 +121,185 @@
 
   attempt_number last_attempt() { return attempts_.empty() ? 0 : attempts_.rbegin()->first; }
 
-  // Mostly the last one, else one of the older ones, whose events are late.
+  // Usually the last attempt, else an older one, whose events come late.
   attempt_number any_attempt()
   {
     const auto last = last_attempt();
     return script_.below(4) > 0 ? last : 1 + script_.below(last + 1);
   }
 
-  attempt_truth* answering(attempt_number n)
+  // Records that bytes have reached the endpoint of attempt `n`, which can therefore respond. Null
+  // if there is no such attempt or it failed without sending.
+  simulated_attempt* mark_bytes_sent(attempt_number n)
   {
     auto* it = find(n);
-    if (it == nullptr || it->dead) {
+    if (it == nullptr || it->failed_unsent) {
       return nullptr;
     }
-    it->sent = true;
+    it->bytes_sent = true;
     return it;
   }
 
-  void next_chunk()
+  void deliver_next_chunk()
   {
     const auto n = any_attempt();
-    auto* it = answering(n);
-    const bool ended = it != nullptr && n == last_attempt() && (it->over || it->stopped);
-    if (it == nullptr || ended || it->next >= answer_tokens) {
+    auto* it = mark_bytes_sent(n);
+    const bool ended =
+        it != nullptr && n == last_attempt() && (it->stream_ended || it->cancel_succeeded);
+    if (it == nullptr || ended || it->next_token >= answer_tokens) {
       return;
     }
-    const auto offset = it->next++;
+    const auto offset = it->next_token++;
     if (options_.generation) {
-      tell(token_arrived{n, offset, reference_token(offset)});
+      deliver(token_arrived{n, offset, reference_token(offset)});
     } else {
-      tell(body_arrived{n, reference_token(offset)});
+      deliver(body_arrived{n, reference_token(offset)});
     }
   }
 
-  // A repeated or reordered token.
-  void any_token()
+  // Delivers a token at a random offset: repeated or out of order.
+  void deliver_random_token()
   {
     const auto n = any_attempt();
     const auto offset = script_.below(answer_tokens);
-    if (options_.generation && answering(n) != nullptr) {
-      tell(token_arrived{n, offset, reference_token(offset)});
+    if (options_.generation && mark_bytes_sent(n) != nullptr) {
+      deliver(token_arrived{n, offset, reference_token(offset)});
     }
   }
 
   void end_stream()
   {
     const auto n = any_attempt();
-    auto* it = answering(n);
-    if (it == nullptr || (it->over && n == last_attempt())) {
+    auto* it = mark_bytes_sent(n);
+    if (it == nullptr || (it->stream_ended && n == last_attempt())) {
       return;
     }
-    const bool whole = it->next >= answer_tokens;
+    const bool is_complete = it->next_token >= answer_tokens;
     const bool tail_lost = script_.coin();
-    it->over = true;
-    if (whole || (options_.generation && tail_lost)) {
-      tell(attempt_finished{.attempt = n, .tokens = answer_tokens, .finish_reason = "stop"});
+    it->stream_ended = true;
+    if (is_complete || (options_.generation && tail_lost)) {
+      deliver(attempt_finished{.attempt = n, .tokens = answer_tokens, .finish_reason = "stop"});
     } else if (options_.generation) {
-      tell(attempt_finished{.attempt = n, .tokens = it->next});
+      deliver(attempt_finished{.attempt = n, .tokens = it->next_token});
     } else {
-      tell(attempt_failed{.attempt = n, .kind = failure_kind::broken});
+      deliver(attempt_failed{.attempt = n, .kind = failure_kind::interrupted});
     }
   }
 
-  void fail()
+  void fail_attempt()
   {
     const auto n = any_attempt();
     auto* it = find(n);
-    if (it == nullptr || it->over) {
+    if (it == nullptr || it->stream_ended) {
       return;
     }
-    it->over = true;
-    if (!it->sent && script_.coin()) {
-      it->dead = true;
-      tell(attempt_failed{n, script_.coin() ? failure_kind::connect_failed
-                                            : failure_kind::no_endpoint});
+    it->stream_ended = true;
+    if (!it->bytes_sent && script_.coin()) {
+      it->failed_unsent = true;
+      deliver(attempt_failed{n, script_.coin() ? failure_kind::connect_failed
+                                               : failure_kind::no_endpoint});
       return;
     }
-    it->sent = it->sent || !it->dead;
+    it->bytes_sent = it->bytes_sent || !it->failed_unsent;
     constexpr int statuses[] = {400, 503};
-    attempt_failed event{.attempt = n, .kind = failure_kind::broken};
-    if (it->next == 0 && script_.below(3) == 0) {
+    attempt_failed event{.attempt = n, .kind = failure_kind::interrupted};
+    if (it->next_token == 0 && script_.below(3) == 0) {
       event.kind = failure_kind::endpoint_status;
       event.response.status = statuses[script_.below(2)];
     } else if (script_.coin()) {
       event.kind = failure_kind::timed_out;
     }
-    tell(event);
+    deliver(event);
   }
 
-  void retry()
+  void answer_retry_request()
   {
     if (script_.below(6) > 0) {
-      tell(retry_granted{});
+      deliver(retry_granted{});
     } else {
-      tell(retry_denied{});
+      deliver(retry_denied{});
     }
   }
 
-  void leave()
+  void announce_reclaim()
   {
     const double rate = script_.below(4) > 0 ? 1000 : 1;
-    tell(endpoint_leaving{endpoint_id("e" + std::to_string(any_attempt())),
-                          {.reclaim_at = mono_time{std::chrono::seconds(2)},
-                           .kv_tokens = 100,
-                           .remaining_tokens = script_.below(4) > 0 ? 1000U : 1U,
-                           .decode_rate = 100,
-                           .transfer_rate = rate,
-                           .prefill_rate = script_.coin() ? 10000.0 : 100.0}});
+    deliver(reclaim_announced{endpoint_id("e" + std::to_string(any_attempt())),
+                              {.reclaim_at = mono_time{std::chrono::seconds(2)},
+                               .kv_tokens = 100,
+                               .remaining_tokens = script_.below(4) > 0 ? 1000U : 1U,
+                               .decode_rate = 100,
+                               .transfer_rate = rate,
+                               .prefill_rate = script_.coin() ? 10000.0 : 100.0}});
   }
 
-  void moved()
+  void answer_export()
   {
     const auto n = any_attempt();
     if (script_.below(4) > 0) {
-      tell(kv_exported{n, "handle", script_.below(answer_tokens)});
+      deliver(kv_exported{n, "handle", script_.below(answer_tokens)});
     } else {
-      tell(kv_export_failed{n});
+      deliver(kv_export_failed{n});
     }
   }
 
-  void cancel_told()
+  void answer_cancel()
   {
-    if (confirming_ == 0) {
+    if (cancel_to_confirm_ == 0) {
       return;
     }
-    const auto n = std::exchange(confirming_, 0);
+    const auto n = std::exchange(cancel_to_confirm_, 0);
     auto& it = attempts_.at(n);
-    it.stopped = script_.below(4) > 0;
-    if (it.stopped) {
-      tell(cancel_confirmed{n});
+    it.cancel_succeeded = script_.below(4) > 0;
+    if (it.cancel_succeeded) {
+      deliver(cancel_confirmed{n});
     } else {
-      tell(cancel_failed{n});
+      deliver(cancel_failed{n});
     }
   }
 
-  void caller()
+  void toggle_caller_connection()
   {
-    if (connected_ && script_.below(3) == 0) {
-      connected_ = false;
-      has_ -= std::min<std::uint64_t>(has_, script_.below(3)); // lost on the way
-      tell(caller_gone{});
-    } else if (!connected_) {
-      connected_ = true;
-      head_ = false;
-      caller_back event;
-      if (has_ > 0) {
-        event.last_offset = has_ - 1;
+    if (caller_connected_ && script_.below(3) == 0) {
+      caller_connected_ = false;
+      caller_token_count_ -=
+          std::min<std::uint64_t>(caller_token_count_, script_.below(3)); // sent, but not received
+      deliver(caller_disconnected{});
+    } else if (!caller_connected_) {
+      caller_connected_ = true;
+      head_sent_ = false;
+      caller_reconnected event;
+      if (caller_token_count_ > 0) {
+        event.last_offset = caller_token_count_ - 1;
       }
-      tell(event);
+      deliver(event);
     }
   }
 
-  void drain()
+  void start_drain()
   {
     if (script_.below(3) == 0) {
-      tell(drain_started{script_.coin()});
+      deliver(drain_started{script_.coin()});
     }
   }
 
-  void peer()
+  void answer_handover()
   {
     if (!handed_over_) {
       return;
     }
     handed_over_ = false;
     if (script_.coin()) {
-      tell(handover_accepted{"peer"});
+      deliver(handover_accepted{"peer"});
     } else {
-      tell(handover_refused{});
+      deliver(handover_refused{});
     }
   }
 
-  void tell(const request_event& event)
+  void deliver(const request_event& event)
   {
-    for (const auto& action : life_.handle(event, clock_reading{})) {
-      RC_ASSERT(finals_ == 0); // nothing follows the final action
+    for (const auto& action : lifecycle_.handle(event, clock_reading{})) {
+      RC_ASSERT(final_actions_ == 0); // nothing follows the final action
       std::visit(*this, action);
     }
   }
@@ -293,20 +310,21 @@
   void operator()(const start_attempt& it)
   {
     RC_ASSERT(find(it.attempt) == nullptr);
-    RC_ASSERT(it.resume_tokens == life_.tokens().size());
+    RC_ASSERT(it.resume_tokens == lifecycle_.tokens().size());
     if (!options_.idempotent) {
       for (const auto& [n, earlier] : attempts_) {
-        RC_ASSERT(earlier.dead || earlier.stopped);         // at most one run is ever alive
-        RC_ASSERT(earlier.dead || it.transfer.has_value()); // and it is never run anew
+        RC_ASSERT(earlier.failed_unsent || earlier.cancel_succeeded); // at most one run at a time
+        RC_ASSERT(earlier.failed_unsent ||
+                  it.transfer.has_value()); // and no second run from the start
       }
     }
-    attempts_[it.attempt] = {.next = it.resume_tokens};
+    attempts_[it.attempt] = {.next_token = it.resume_tokens};
   }
 
   void operator()(const cancel_attempt& it)
   {
     if (it.confirm) {
-      confirming_ = it.attempt;
+      cancel_to_confirm_ = it.attempt;
     }
   }
 
@@ -315,16 +333,16 @@
 
   void operator()(const send_head&)
   {
-    RC_ASSERT(!head_);
-    head_ = true;
+    RC_ASSERT(!head_sent_);
+    head_sent_ = true;
   }
 
   void operator()(const send_token& it)
   {
-    RC_ASSERT(connected_ && head_);
-    RC_ASSERT(it.offset == has_); // no gap, no repeat
+    RC_ASSERT(caller_connected_ && head_sent_);
+    RC_ASSERT(it.offset == caller_token_count_); // no gap and no duplicate
     RC_ASSERT(it.text == reference_token(it.offset));
-    ++has_;
+    ++caller_token_count_;
   }
 
   void operator()(const send_body& it) { body_ = it.bytes; }
@@ -337,35 +355,35 @@
 
   void operator()(const hand_over& it)
   {
-    RC_ASSERT(it.state.tokens == life_.tokens());
+    RC_ASSERT(it.state.tokens == lifecycle_.tokens());
     for (const auto& [n, earlier] : attempts_) {
-      RC_ASSERT(options_.idempotent || earlier.dead || earlier.stopped);
+      RC_ASSERT(options_.idempotent || earlier.failed_unsent || earlier.cancel_succeeded);
     }
     handed_over_ = true;
   }
 
-  void operator()(const redirect&) { ++finals_; }
+  void operator()(const redirect&) { ++final_actions_; }
 
   void operator()(const finish& it)
   {
-    ++finals_;
+    ++final_actions_;
     if (std::holds_alternative<refused_not_run>(it.result)) {
       for (const auto& [n, attempt] : attempts_) {
-        RC_ASSERT(!attempt.sent);
+        RC_ASSERT(!attempt.bytes_sent);
       }
       RC_ASSERT(!handed_over_); // a peer may run it
     }
-    const auto* whole = std::get_if<answered>(&it.result);
-    if (whole == nullptr) {
+    const auto* answer = std::get_if<answered>(&it.result);
+    if (answer == nullptr) {
       return;
     }
-    RC_ASSERT(kept_ == (!options_.idempotent || (options_.keyed && whole->status != 503)));
-    if (whole->status != 200) {
+    RC_ASSERT(kept_ == (!options_.idempotent || (options_.keyed && answer->status != 503)));
+    if (answer->status != 200) {
       return; // the endpoint's own error
     }
     if (options_.generation && options_.streamed) {
-      RC_ASSERT(!connected_ || has_ == answer_tokens);
-      RC_ASSERT(life_.tokens().size() == answer_tokens);
+      RC_ASSERT(!caller_connected_ || caller_token_count_ == answer_tokens);
+      RC_ASSERT(lifecycle_.tokens().size() == answer_tokens);
     } else if (options_.generation) {
       RC_ASSERT(body_.find(reference_text()) != std::string::npos);
     } else {
@@ -374,18 +392,18 @@
   }
 
  private:
-  request_life_options options_;
+  request_lifecycle_options options_;
   script_reader& script_;
-  request_life life_;
-  std::map<attempt_number, attempt_truth> attempts_;
-  attempt_number confirming_ = 0;
-  bool connected_ = true;
-  bool head_ = false;
+  request_lifecycle lifecycle_;
+  std::map<attempt_number, simulated_attempt> attempts_;
+  attempt_number cancel_to_confirm_ = 0;
+  bool caller_connected_ = true;
+  bool head_sent_ = false;
   bool handed_over_ = false;
   bool kept_ = false;
-  std::uint64_t has_ = 0;
+  std::uint64_t caller_token_count_ = 0;
   std::string body_;
-  int finals_ = 0;
+  int final_actions_ = 0;
 };
 
 } // namespace wisteriaflow::requests
--- a/test/requests/request_life_property_test.cc
+++ b/test/requests/request_life_property_test.cc
@@ -1,5 +1,5 @@
-// Random events against a request's life: late, repeated and reordered chunks, failures, reclaims,
-// moves, drains, and callers that come and go.
+// Property tests of `request_lifecycle` with random events: late, repeated and reordered chunks,
+// failures, reclaims, moves, drains, and callers that disconnect and reconnect.
 
 #include <cstdint>
 #include <vector>
@@ -14,46 +14,46 @@
 
 constexpr std::size_t script_length = 2000;
 
-// Lives as many requests as the script lasts for.
-void live_through(const request_life_options& options)
+// Simulates requests, one after another, until the random script is exhausted.
+void run_requests(const request_lifecycle_options& options)
 {
   const auto script = *rc::gen::container<std::vector<std::uint32_t>>(
       script_length, rc::gen::inRange<std::uint32_t>(0, 1U << 16U));
   script_reader reader(script);
   while (!reader.empty()) {
-    world it(options, reader);
-    while (!it.finished() && !reader.empty()) {
-      it.step();
+    lifecycle_simulation simulation(options, reader);
+    while (!simulation.finished() && !reader.empty()) {
+      simulation.step();
     }
-    if (!it.finished()) {
-      it.end();
+    if (!simulation.finished()) {
+      simulation.end();
     }
   }
 }
 
-RC_GTEST_PROP(RequestLifePropertyTest, StreamedGenerationsEndOnceAndWhole, ())
+RC_GTEST_PROP(RequestLifecyclePropertyTest, StreamedGenerationsEndOnceWithACompleteAnswer, ())
 {
-  live_through({.keyed = *rc::gen::arbitrary<bool>(), .streamed = true});
+  run_requests({.keyed = *rc::gen::arbitrary<bool>(), .streamed = true});
 }
 
-RC_GTEST_PROP(RequestLifePropertyTest, PlainGenerationsEndOnceAndWhole, ())
+RC_GTEST_PROP(RequestLifecyclePropertyTest, PlainGenerationsEndOnceWithACompleteAnswer, ())
 {
-  live_through({.keyed = *rc::gen::arbitrary<bool>()});
+  run_requests({.keyed = *rc::gen::arbitrary<bool>()});
 }
 
-RC_GTEST_PROP(RequestLifePropertyTest, NonIdempotentGenerationsRunAtMostOnce, ())
+RC_GTEST_PROP(RequestLifecyclePropertyTest, NonIdempotentGenerationsRunAtMostOnce, ())
 {
-  live_through({.idempotent = false, .streamed = *rc::gen::arbitrary<bool>()});
+  run_requests({.idempotent = false, .streamed = *rc::gen::arbitrary<bool>()});
 }
 
-RC_GTEST_PROP(RequestLifePropertyTest, PlainCallsEndOnceAndWhole, ())
+RC_GTEST_PROP(RequestLifecyclePropertyTest, PlainCallsEndOnceWithACompleteAnswer, ())
 {
-  live_through({.generation = false, .keyed = *rc::gen::arbitrary<bool>()});
+  run_requests({.generation = false, .keyed = *rc::gen::arbitrary<bool>()});
 }
 
-RC_GTEST_PROP(RequestLifePropertyTest, NonIdempotentPlainCallsRunAtMostOnce, ())
+RC_GTEST_PROP(RequestLifecyclePropertyTest, NonIdempotentPlainCallsRunAtMostOnce, ())
 {
-  live_through({.generation = false, .idempotent = false});
+  run_requests({.generation = false, .idempotent = false});
 }
 
 } // namespace
--- a/test/requests/request_life_test.cc
+++ b/test/requests/request_life_test.cc
@@ -14,19 +14,20 @@
 const clock_reading start_time{mono_time{std::chrono::seconds(100)},
                                from_unix_ms(1'700'000'000'000)};
 
-// A life with its time; `tell` returns the actions of the last of its events.
-struct driven_life {
-  request_life life;
+// A `request_lifecycle` at a fixed time. `deliver` handles events in order and returns the actions
+// of the last one.
+struct driven_lifecycle {
+  request_lifecycle lifecycle;
 
-  explicit driven_life(request_life_options options, handed_over_state state = {})
-      : life(std::move(options), std::move(state))
+  explicit driven_lifecycle(request_lifecycle_options options, handed_over_state state = {})
+      : lifecycle(std::move(options), std::move(state))
   {
   }
 
-  template <typename... events> actions tell(const events&... all)
+  template <typename... events> actions deliver(const events&... all)
   {
     actions last;
-    ((last = life.handle(all, start_time)), ...);
+    ((last = lifecycle.handle(all, start_time)), ...);
     return last;
   }
 };
@@ -45,9 +46,9 @@
   return it == nullptr ? nullptr : std::get_if<result>(&it->result);
 }
 
-// A notice of two seconds. The rest of the answer does not fit into it; moving the cache does, and
-// is cheaper than replay.
-endpoint_leaving notice_for(const std::string& endpoint)
+// A reclaim notice of two seconds. Finishing takes longer than that; moving the KV cache does not,
+// and it is cheaper than replay.
+reclaim_announced notice_for(const std::string& endpoint)
 {
   return {endpoint_id(endpoint),
           {.reclaim_at = start_time.mono + std::chrono::seconds(2),
@@ -58,176 +59,179 @@
            .prefill_rate = 2000}};
 }
 
-endpoint_leaving notice_without_transfer(const std::string& endpoint)
+reclaim_announced notice_without_transfer(const std::string& endpoint)
 {
   auto notice = notice_for(endpoint);
   notice.estimate.transfer_rate = 0;
   return notice;
 }
 
-// A generation of which the caller has the tokens "a" and "b", on endpoint e1.
-driven_life streaming_life(bool idempotent)
+// A generation that runs on endpoint e1 and whose caller has received the tokens "a" and "b".
+driven_lifecycle streaming_lifecycle(bool idempotent)
 {
-  driven_life it({.idempotent = idempotent, .keyed = true, .streamed = true, .prompt_tokens = 10});
-  it.tell(admission_granted{}, claim_granted{7}, attempt_started{1, endpoint_id("e1")},
-          token_arrived{1, 0, "a"}, token_arrived{1, 1, "b"});
+  driven_lifecycle it(
+      {.idempotent = idempotent, .keyed = true, .streamed = true, .prompt_tokens = 10});
+  it.deliver(admission_granted{}, claim_granted{7}, attempt_started{1, endpoint_id("e1")},
+             token_arrived{1, 0, "a"}, token_arrived{1, 1, "b"});
   return it;
 }
 
-TEST(RequestLifeTest, StartsAnIdempotentRequestOnceAdmitted)
+TEST(RequestLifecycleTest, StartsAnIdempotentRequestOnceAdmitted)
 {
-  driven_life it({});
-  EXPECT_EQ(it.tell(admission_granted{}), (actions{start_attempt{.attempt = 1}}));
+  driven_lifecycle it({});
+  EXPECT_EQ(it.deliver(admission_granted{}), (actions{start_attempt{.attempt = 1}}));
 }
 
-TEST(RequestLifeTest, ClaimsANonIdempotentRequestBeforeItStarts)
+TEST(RequestLifecycleTest, ClaimsANonIdempotentRequestBeforeItStarts)
 {
-  driven_life it({.idempotent = false});
-  EXPECT_EQ(it.tell(admission_granted{}), actions{claim_key{}});
-  EXPECT_EQ(it.tell(claim_granted{7}), (actions{start_attempt{.attempt = 1}}));
+  driven_lifecycle it({.idempotent = false});
+  EXPECT_EQ(it.deliver(admission_granted{}), actions{claim_key{}});
+  EXPECT_EQ(it.deliver(claim_granted{7}), (actions{start_attempt{.attempt = 1}}));
 }
 
-TEST(RequestLifeTest, RefusesWithTheTimeThatAdmissionGave)
+TEST(RequestLifecycleTest, RefusesWithTheRetryTimeFromAdmission)
 {
-  driven_life it({});
+  driven_lifecycle it({});
   const auto retry_at = start_time.wall + std::chrono::seconds(3);
-  const auto got = it.tell(admission_refused{refusal_reason::over_share, retry_at, ""});
+  const auto got = it.deliver(admission_refused{refusal_reason::over_share, retry_at, ""});
   const auto* refusal = ended_with<refused_not_run>(got);
   ASSERT_NE(refusal, nullptr);
   EXPECT_EQ(refusal->retry_at, retry_at);
 }
 
-TEST(RequestLifeTest, RefusesWhatCannotBeClaimed)
+TEST(RequestLifecycleTest, RefusesARequestWhoseKeyCannotBeClaimed)
 {
-  driven_life it({.idempotent = false});
-  const auto got = it.tell(admission_granted{}, claim_unavailable{start_time.wall});
+  driven_lifecycle it({.idempotent = false});
+  const auto got = it.deliver(admission_granted{}, claim_unavailable{start_time.wall});
   EXPECT_NE(ended_with<refused_not_run>(got), nullptr);
 }
 
-TEST(RequestLifeTest, SendsADuplicateToTheDaemonThatHasTheAnswer)
+TEST(RequestLifecycleTest, SendsADuplicateToTheDaemonThatHasTheAnswer)
 {
-  driven_life it({.idempotent = false});
-  const auto got = it.tell(admission_granted{},
-                           claim_duplicate{duplicate_state::answered_elsewhere, "10.0.0.2:80"});
+  driven_lifecycle it({.idempotent = false});
+  const auto got = it.deliver(admission_granted{},
+                              claim_duplicate{duplicate_state::answered_elsewhere, "10.0.0.2:80"});
   EXPECT_EQ(got, actions{redirect{"10.0.0.2:80"}});
 }
 
-TEST(RequestLifeTest, AnswersConflictForAKeyWithAnotherBody)
+TEST(RequestLifecycleTest, AnswersConflictForAKeyWithAnotherBody)
 {
-  driven_life it({.idempotent = false});
+  driven_lifecycle it({.idempotent = false});
   const auto got =
-      it.tell(admission_granted{}, claim_duplicate{duplicate_state::body_mismatch, ""});
+      it.deliver(admission_granted{}, claim_duplicate{duplicate_state::body_mismatch, ""});
   const auto* result = ended_with<invalid>(got);
   ASSERT_NE(result, nullptr);
   EXPECT_EQ(result->status, 409);
 }
 
-TEST(RequestLifeTest, SendsTheHeadBeforeTheFirstToken)
+TEST(RequestLifecycleTest, SendsTheHeadBeforeTheFirstToken)
 {
-  driven_life it({.streamed = true});
-  const auto got = it.tell(admission_granted{}, token_arrived{1, 0, "a"});
+  driven_lifecycle it({.streamed = true});
+  const auto got = it.deliver(admission_granted{}, token_arrived{1, 0, "a"});
   ASSERT_EQ(got.size(), 2U);
   EXPECT_TRUE(std::holds_alternative<send_head>(got[0]));
   EXPECT_EQ(got[1], request_action(send_token{0, "a"}));
 }
 
-TEST(RequestLifeTest, KeepsTheAnswerOfAKeyedRequest)
+TEST(RequestLifecycleTest, KeepsTheAnswerOfAKeyedRequest)
 {
-  auto it = streaming_life(true);
-  const auto got = it.tell(attempt_finished{1, 2, "stop", {}});
+  auto it = streaming_lifecycle(true);
+  const auto got = it.deliver(attempt_finished{1, 2, "stop", {}});
   const auto* kept = find<keep_answer>(got);
   ASSERT_NE(kept, nullptr);
-  EXPECT_EQ(kept->until, start_time.wall + request_life_options{}.retention);
+  EXPECT_EQ(kept->until, start_time.wall + request_lifecycle_options{}.retention);
   EXPECT_NE(ended_with<answered>(got), nullptr);
 }
 
-TEST(RequestLifeTest, ResumesAfterABrokenStreamFromTheTokensItHas)
+TEST(RequestLifecycleTest, ResumesAfterABrokenStreamFromTheTokensItHas)
 {
-  auto it = streaming_life(true);
-  EXPECT_EQ(it.tell(attempt_failed{1, failure_kind::broken, {}}), actions{ask_retry{1}});
+  auto it = streaming_lifecycle(true);
+  EXPECT_EQ(it.deliver(attempt_failed{1, failure_kind::interrupted, {}}), actions{ask_retry{1}});
   EXPECT_EQ(
-      it.tell(retry_granted{}),
+      it.deliver(retry_granted{}),
       (actions{start_attempt{
           .attempt = 2, .exclude = {endpoint_id("e1")}, .resume_tokens = 2, .resume_text = "ab"}}));
 }
 
-TEST(RequestLifeTest, CountsTheReplayedPrefixAsRecomputed)
+TEST(RequestLifecycleTest, CountsTheReplayedPrefixAsRecomputed)
 {
-  auto it = streaming_life(true);
-  it.tell(attempt_failed{1, failure_kind::broken, {}}, retry_granted{});
-  EXPECT_EQ(it.life.recomputed_tokens(), 12U);
+  auto it = streaming_lifecycle(true);
+  it.deliver(attempt_failed{1, failure_kind::interrupted, {}}, retry_granted{});
+  EXPECT_EQ(it.lifecycle.recomputed_tokens(), 12U);
 }
 
-TEST(RequestLifeTest, PrefersTheEnginesOwnCountOfRecomputedTokens)
+TEST(RequestLifecycleTest, PrefersTheEnginesOwnCountOfRecomputedTokens)
 {
-  auto it = streaming_life(true);
-  it.tell(attempt_failed{1, failure_kind::broken, {}}, retry_granted{});
-  it.tell(attempt_finished{2, 2, "stop", {.recomputed_tokens = 5}});
-  EXPECT_EQ(it.life.recomputed_tokens(), 5U);
+  auto it = streaming_lifecycle(true);
+  it.deliver(attempt_failed{1, failure_kind::interrupted, {}}, retry_granted{});
+  it.deliver(attempt_finished{2, 2, "stop", {.recomputed_tokens = 5}});
+  EXPECT_EQ(it.lifecycle.recomputed_tokens(), 5U);
 }
 
-TEST(RequestLifeTest, ResumesAtAGapThatDoesNotClose)
+TEST(RequestLifecycleTest, ResumesAtAGapThatDoesNotClose)
 {
-  auto it = streaming_life(true);
+  auto it = streaming_lifecycle(true);
   actions got;
   for (std::uint64_t offset = 3; got.empty(); ++offset) {
     ASSERT_LT(offset, 100U) << "the gap at 2 never led to a resume";
-    got = it.tell(token_arrived{1, offset, "x"});
+    got = it.deliver(token_arrived{1, offset, "x"});
   }
   EXPECT_EQ(got, (actions{cancel_attempt{.attempt = 1}, ask_retry{1}}));
 }
 
-TEST(RequestLifeTest, TreatsAStreamWithoutAFinishReasonAsBroken)
+TEST(RequestLifecycleTest, TreatsAStreamWithoutAFinishReasonAsBroken)
 {
-  auto it = streaming_life(true);
-  EXPECT_EQ(it.tell(attempt_finished{1, 2, "", {}}), actions{ask_retry{1}});
+  auto it = streaming_lifecycle(true);
+  EXPECT_EQ(it.deliver(attempt_finished{1, 2, "", {}}), actions{ask_retry{1}});
 }
 
-TEST(RequestLifeTest, NeverSendsANonIdempotentRequestAgain)
+TEST(RequestLifecycleTest, NeverSendsANonIdempotentRequestAgain)
 {
-  auto it = streaming_life(false);
-  const auto got = it.tell(attempt_failed{1, failure_kind::broken, {}});
+  auto it = streaming_lifecycle(false);
+  const auto got = it.deliver(attempt_failed{1, failure_kind::interrupted, {}});
   EXPECT_NE(ended_with<outcome_unknown>(got), nullptr);
 }
 
-TEST(RequestLifeTest, RetriesANonIdempotentRequestThatNeverLeft)
+TEST(RequestLifecycleTest, RetriesANonIdempotentRequestOfWhichNothingWasSent)
 {
-  driven_life it({.idempotent = false});
-  const auto got = it.tell(admission_granted{}, claim_granted{7},
-                           attempt_failed{1, failure_kind::connect_failed, {}}, retry_granted{});
+  driven_lifecycle it({.idempotent = false});
+  const auto got = it.deliver(admission_granted{}, claim_granted{7},
+                              attempt_failed{1, failure_kind::connect_failed, {}}, retry_granted{});
   EXPECT_NE(find<start_attempt>(got), nullptr);
 }
 
-TEST(RequestLifeTest, SaysNotRunWhenNoAttemptCouldConnect)
+TEST(RequestLifecycleTest, SaysNotRunWhenNoAttemptCouldConnect)
 {
-  driven_life it({});
-  const auto got = it.tell(admission_granted{}, attempt_failed{1, failure_kind::connect_failed, {}},
-                           retry_denied{start_time.wall});
+  driven_lifecycle it({});
+  const auto got =
+      it.deliver(admission_granted{}, attempt_failed{1, failure_kind::connect_failed, {}},
+                 retry_denied{start_time.wall});
   EXPECT_NE(ended_with<refused_not_run>(got), nullptr);
 }
 
-TEST(RequestLifeTest, SaysUnknownWhenTheDeadlinePassesDuringAnAttempt)
+TEST(RequestLifecycleTest, SaysUnknownWhenTheDeadlinePassesDuringAnAttempt)
 {
-  driven_life it({});
-  const auto got = it.tell(admission_granted{}, deadline_passed{});
+  driven_lifecycle it({});
+  const auto got = it.deliver(admission_granted{}, deadline_passed{});
   EXPECT_NE(ended_with<outcome_unknown>(got), nullptr);
   EXPECT_NE(find<cancel_attempt>(got), nullptr);
 }
 
-TEST(RequestLifeTest, StopsAfterTheAllowedRetries)
+TEST(RequestLifecycleTest, StopsAfterTheAllowedRetries)
 {
-  driven_life it({.max_retries = 1});
-  it.tell(admission_granted{}, attempt_failed{1, failure_kind::broken, {}}, retry_granted{});
-  const auto got = it.tell(attempt_failed{2, failure_kind::broken, {}});
+  driven_lifecycle it({.max_retries = 1});
+  it.deliver(admission_granted{}, attempt_failed{1, failure_kind::interrupted, {}},
+             retry_granted{});
+  const auto got = it.deliver(attempt_failed{2, failure_kind::interrupted, {}});
   const auto* unknown = ended_with<outcome_unknown>(got);
   ASSERT_NE(unknown, nullptr);
   EXPECT_EQ(unknown->reason, unknown_reason::retries_exhausted);
 }
 
-TEST(RequestLifeTest, PassesOnTheEndpointsOwnError)
+TEST(RequestLifecycleTest, ForwardsTheEndpointsErrorResponse)
 {
-  driven_life it({.generation = false});
-  const auto got = it.tell(
+  driven_lifecycle it({.generation = false});
+  const auto got = it.deliver(
       admission_granted{},
       attempt_failed{1, failure_kind::endpoint_status, {.status = 422, .body = "no such room"}});
   EXPECT_NE(ended_with<answered>(got), nullptr);
@@ -236,107 +240,107 @@
   EXPECT_EQ(body->bytes, "no such room");
 }
 
-TEST(RequestLifeTest, ReplaysAtOnceOnAnAnnouncedReclaim)
+TEST(RequestLifecycleTest, ReplaysAtOnceOnAnAnnouncedReclaim)
 {
-  auto it = streaming_life(true);
-  const auto got = it.tell(notice_without_transfer("e1"));
+  auto it = streaming_lifecycle(true);
+  const auto got = it.deliver(notice_without_transfer("e1"));
   EXPECT_NE(find<cancel_attempt>(got), nullptr);
   const auto* next = find<start_attempt>(got);
   ASSERT_NE(next, nullptr);
   EXPECT_EQ(next->resume_tokens, 2U);
 }
 
-TEST(RequestLifeTest, IgnoresAReclaimOfAnotherEndpoint)
+TEST(RequestLifecycleTest, IgnoresAReclaimOfAnotherEndpoint)
 {
-  auto it = streaming_life(true);
-  EXPECT_EQ(it.tell(notice_for("e2")), actions{});
+  auto it = streaming_lifecycle(true);
+  EXPECT_EQ(it.deliver(notice_for("e2")), actions{});
 }
 
-TEST(RequestLifeTest, MovesTheCacheOfANonIdempotentRunOnlyAfterItsCancelIsConfirmed)
+TEST(RequestLifecycleTest, MovesTheCacheOfANonIdempotentRunOnlyAfterItsCancelIsConfirmed)
 {
-  auto it = streaming_life(false);
-  EXPECT_EQ(it.tell(notice_for("e1")), (actions{export_kv{1, endpoint_id("e1")}}));
-  EXPECT_EQ(it.tell(kv_exported{1, "h", 2}), (actions{cancel_attempt{1, true}}));
-  const auto got = it.tell(cancel_confirmed{1});
+  auto it = streaming_lifecycle(false);
+  EXPECT_EQ(it.deliver(notice_for("e1")), (actions{export_kv{1, endpoint_id("e1")}}));
+  EXPECT_EQ(it.deliver(kv_exported{1, "h", 2}), (actions{cancel_attempt{1, true}}));
+  const auto got = it.deliver(cancel_confirmed{1});
   const auto* next = find<start_attempt>(got);
   ASSERT_NE(next, nullptr);
   EXPECT_EQ(next->transfer, (kv_transfer{"h", endpoint_id("e1"), 2}));
 }
 
-TEST(RequestLifeTest, StaysWithANonIdempotentRunThatCannotBeMoved)
+TEST(RequestLifecycleTest, StaysWithANonIdempotentRunThatCannotBeMoved)
 {
-  auto it = streaming_life(false);
-  EXPECT_EQ(it.tell(notice_without_transfer("e1")), actions{});
-  EXPECT_NE(ended_with<answered>(it.tell(attempt_finished{1, 2, "stop", {}})), nullptr);
+  auto it = streaming_lifecycle(false);
+  EXPECT_EQ(it.deliver(notice_without_transfer("e1")), actions{});
+  EXPECT_NE(ended_with<answered>(it.deliver(attempt_finished{1, 2, "stop", {}})), nullptr);
 }
 
-TEST(RequestLifeTest, StaysWhenTheCancelOfANonIdempotentRunIsNotConfirmed)
+TEST(RequestLifecycleTest, StaysWhenTheCancelOfANonIdempotentRunIsNotConfirmed)
 {
-  auto it = streaming_life(false);
-  it.tell(notice_for("e1"), kv_exported{1, "h", 2}, cancel_failed{1});
-  EXPECT_EQ(it.life.stage(), life_stage::streaming);
+  auto it = streaming_lifecycle(false);
+  it.deliver(notice_for("e1"), kv_exported{1, "h", 2}, cancel_failed{1});
+  EXPECT_EQ(it.lifecycle.stage(), lifecycle_stage::streaming);
 }
 
-TEST(RequestLifeTest, GoesOnWithoutTheCallerIfTheAnswerIsKept)
+TEST(RequestLifecycleTest, ContinuesWithoutTheCallerIfTheAnswerIsKept)
 {
-  auto it = streaming_life(true);
-  EXPECT_EQ(it.tell(caller_gone{}), actions{});
-  EXPECT_EQ(it.tell(token_arrived{1, 2, "c"}), actions{});
+  auto it = streaming_lifecycle(true);
+  EXPECT_EQ(it.deliver(caller_disconnected{}), actions{});
+  EXPECT_EQ(it.deliver(token_arrived{1, 2, "c"}), actions{});
 }
 
-TEST(RequestLifeTest, StopsWithoutTheCallerIfNobodyCanFetchTheAnswer)
+TEST(RequestLifecycleTest, CancelsWithoutTheCallerIfTheAnswerIsNotKept)
 {
-  driven_life it({});
-  EXPECT_NE(find<cancel_attempt>(it.tell(admission_granted{}, caller_gone{})), nullptr);
-  EXPECT_TRUE(it.life.finished());
+  driven_lifecycle it({});
+  EXPECT_NE(find<cancel_attempt>(it.deliver(admission_granted{}, caller_disconnected{})), nullptr);
+  EXPECT_TRUE(it.lifecycle.finished());
 }
 
-TEST(RequestLifeTest, GivesAReturningCallerWhatItMissed)
+TEST(RequestLifecycleTest, SendsAReconnectedCallerTheTokensItMissed)
 {
-  auto it = streaming_life(true);
-  it.tell(caller_gone{}, token_arrived{1, 2, "c"});
-  const auto got = it.tell(caller_back{0});
+  auto it = streaming_lifecycle(true);
+  it.deliver(caller_disconnected{}, token_arrived{1, 2, "c"});
+  const auto got = it.deliver(caller_reconnected{0});
   ASSERT_EQ(got.size(), 3U);
   EXPECT_EQ(got[1], request_action(send_token{1, "b"}));
   EXPECT_EQ(got[2], request_action(send_token{2, "c"}));
 }
 
-TEST(RequestLifeTest, HandsAnIdempotentRequestOverWithItsTokens)
+TEST(RequestLifecycleTest, HandsAnIdempotentRequestOverWithItsTokens)
 {
-  auto it = streaming_life(true);
-  const auto got = it.tell(drain_started{true});
+  auto it = streaming_lifecycle(true);
+  const auto got = it.deliver(drain_started{true});
   const auto* handed = find<hand_over>(got);
   ASSERT_NE(handed, nullptr);
   EXPECT_EQ(handed->state.tokens, (std::vector<std::string>{"a", "b"}));
-  EXPECT_EQ(it.tell(handover_accepted{"10.0.0.3:80"}),
+  EXPECT_EQ(it.deliver(handover_accepted{"10.0.0.3:80"}),
             (actions{cancel_attempt{.attempt = 1}, redirect{"10.0.0.3:80"}}));
 }
 
-TEST(RequestLifeTest, ContinuesAHandedOverRequestAtThePeer)
+TEST(RequestLifecycleTest, ContinuesAHandedOverRequestAtThePeer)
 {
-  driven_life it({.keyed = true, .streamed = true, .caller_connected = false},
-                 {.attempt = 3, .tokens = {"a", "b"}, .dispatched = true});
-  const auto got = it.tell(admission_granted{});
+  driven_lifecycle it({.keyed = true, .streamed = true, .caller_connected = false},
+                      {.attempt = 3, .tokens = {"a", "b"}, .dispatched = true});
+  const auto got = it.deliver(admission_granted{});
   EXPECT_EQ(got, (actions{start_attempt{
                      .attempt = 4, .exclude = {}, .resume_tokens = 2, .resume_text = "ab"}}));
 }
 
-TEST(RequestLifeTest, HandsOverAgainIfThePeerIsToldToLeave)
+TEST(RequestLifecycleTest, HandsOverAgainIfThePeerDrains)
 {
-  driven_life it({.keyed = true}, {.attempt = 3, .tokens = {"a"}, .dispatched = true});
-  EXPECT_NE(find<hand_over>(it.tell(drain_started{true})), nullptr);
+  driven_lifecycle it({.keyed = true}, {.attempt = 3, .tokens = {"a"}, .dispatched = true});
+  EXPECT_NE(find<hand_over>(it.deliver(drain_started{true})), nullptr);
 }
 
-TEST(RequestLifeTest, DoesNotRunAHandedOverNonIdempotentRequestAgain)
+TEST(RequestLifecycleTest, DoesNotRunAHandedOverNonIdempotentRequestAgain)
 {
-  driven_life it({.idempotent = false}, {.attempt = 1, .dispatched = true, .claim_nonce = 7});
-  EXPECT_NE(ended_with<outcome_unknown>(it.tell(admission_granted{})), nullptr);
+  driven_lifecycle it({.idempotent = false}, {.attempt = 1, .dispatched = true, .claim_nonce = 7});
+  EXPECT_NE(ended_with<outcome_unknown>(it.deliver(admission_granted{})), nullptr);
 }
 
-TEST(RequestLifeTest, RefusesANewRequestWhileDraining)
+TEST(RequestLifecycleTest, RefusesANewRequestWhileDraining)
 {
-  driven_life it({});
-  EXPECT_NE(ended_with<refused_not_run>(it.tell(drain_started{})), nullptr);
+  driven_lifecycle it({});
+  EXPECT_NE(ended_with<refused_not_run>(it.deliver(drain_started{})), nullptr);
 }
 
 } // namespace
--- a/test/requests/stream_test.cc
+++ b/test/requests/stream_test.cc
@@ -25,22 +25,23 @@
 std::vector<engine_event> events_of_engine_stream()
 {
   return {engine_token{0, "one "}, engine_token{1, "two"}, engine_token{2, "!"},
-          engine_end{3, "stop", {.prompt_tokens = 4, .recomputed_tokens = 1}}, engine_done{}};
+          engine_finish{3, "stop", {.prompt_tokens = 4, .recomputed_tokens = 1}},
+          engine_stream_end{}};
 }
 
 TEST(StreamAssemblerTest, PutsReorderedTokensInOrder)
 {
   stream_assembler it;
-  EXPECT_EQ(it.accept(1, "b"), chunk_result::held);
-  EXPECT_EQ(it.accept(0, "a"), chunk_result::appended);
+  EXPECT_EQ(it.accept(1, "b"), token_result::buffered);
+  EXPECT_EQ(it.accept(0, "a"), token_result::appended);
   EXPECT_EQ(it.text(), "ab");
 }
 
-TEST(StreamAssemblerTest, DropsASeenOffset)
+TEST(StreamAssemblerTest, DropsADuplicateOffset)
 {
   stream_assembler it;
   it.accept(0, "a");
-  EXPECT_EQ(it.accept(0, "a"), chunk_result::duplicate);
+  EXPECT_EQ(it.accept(0, "a"), token_result::duplicate);
   EXPECT_EQ(it.next_offset(), 1U);
 }
 
@@ -49,7 +50,7 @@
   stream_assembler it(2);
   it.accept(1, "b");
   it.accept(2, "c");
-  EXPECT_EQ(it.accept(3, "d"), chunk_result::gap_too_wide);
+  EXPECT_EQ(it.accept(3, "d"), token_result::gap_too_wide);
 }
 
 RC_GTEST_PROP(SseParserTest, ReadsTheSameEventsWhereverTheChunksAreCut, ())
@@ -90,14 +91,14 @@
   EXPECT_THROW(parser.feed("event: error\ndata: {}\n\n"), stream_error);
 }
 
-TEST(CompletionRenderTest, WritesEventsThatTheParserReads)
+TEST(CompletionRenderTest, RendersEventsThatTheParserReads)
 {
   sse_parser parser;
   const auto got = parser.feed(render_token_event(0, "a\n\"b\"") +
                                render_final_events("stop", {.completion_tokens = 1}));
   EXPECT_EQ(got, (std::vector<engine_event>{engine_token{0, "a\n\"b\""},
-                                            engine_end{1, "stop", {.completion_tokens = 1}},
-                                            engine_done{}}));
+                                            engine_finish{1, "stop", {.completion_tokens = 1}},
+                                            engine_stream_end{}}));
 }
 
 TEST(CompletionRenderTest, GivesEachTokenItsOffsetAsId)
@@ -105,24 +106,25 @@
   EXPECT_TRUE(render_token_event(17, "x").starts_with("id: 17\n"));
 }
 
-TEST(CompletionRenderTest, EndsACutStreamWithTheOutcome)
+TEST(CompletionRenderTest, EndsAnIncompleteStreamWithTheOutcome)
 {
   EXPECT_EQ(render_error_event(outcome_unknown{}, {}).rfind("event: error\ndata: {\"error\"", 0),
             0U);
 }
 
-TEST(CompletionRenderTest, WritesAWholeAnswer)
+TEST(CompletionRenderTest, RendersACompleteAnswer)
 {
-  const auto body = boost::json::parse(render_whole_answer({.request_id = "r",
-                                                            .model = "m",
-                                                            .text = "ab",
-                                                            .finish_reason = "stop",
-                                                            .usage = {.completion_tokens = 2}}));
+  const auto body =
+      boost::json::parse(render_completion_response({.request_id = "r",
+                                                     .model = "m",
+                                                     .text = "ab",
+                                                     .finish_reason = "stop",
+                                                     .usage = {.completion_tokens = 2}}));
   EXPECT_EQ(body.at("choices").at(0).at("text").as_string(), "ab");
   EXPECT_EQ(body.at("usage").at("completion_tokens").to_number<int>(), 2);
 }
 
-// A notice of one second; 1000 tokens are cached and 1000 are to come.
+// A reclaim notice of one second; 1000 tokens are in the KV cache and 1000 are still to generate.
 move_estimate estimate_with(double decode_rate, double transfer_rate, double prefill_rate)
 {
   return {.reclaim_at = mono_time{std::chrono::seconds(1)},
@@ -153,7 +155,7 @@
   EXPECT_EQ(choose_move(estimate_with(10, 1000, 10), true, {}), move_choice::replay);
 }
 
-TEST(MoveChoiceTest, NeverReplaysWhatMayNotRunTwice)
+TEST(MoveChoiceTest, NeverReplaysANonIdempotentGeneration)
 {
   EXPECT_EQ(choose_move(estimate_with(10, 1000, 1e6), false, {}), move_choice::stay);
 }
