--- a/include/wisteriaflow/core/actions.h
+++ b/include/wisteriaflow/core/actions.h
@@ -1,6 +1,9 @@
-// What the core tells the shells to do.
+// The actions that daemon_core::handle() returns.
 //
-// Each shell takes one variant; the daemon carries it over that shell's ring.
+// The core performs no I/O. It returns actions, and the I/O components of the daemon perform them.
+// There is one component each for callers, endpoints, the platform and peers. Each performs the
+// actions of one variant below and gets them through a ring buffer. The daemon itself performs
+// process actions.
 
 #ifndef WISTERIAFLOW_CORE_ACTIONS_H_
 #define WISTERIAFLOW_CORE_ACTIONS_H_
@@ -18,21 +21,21 @@
 
 namespace wisteriaflow::core {
 
-// Number of a caller's call within this process.
+// Identifies an HTTP call from a caller. Unique within this process.
 using call_number = std::uint64_t;
 
-// Number of an exchange with an endpoint within this process.
+// Identifies one request to an endpoint and its response. Unique within this process.
 using exchange_number = std::uint64_t;
 
-// Towards callers.
+// Actions towards callers, performed by the HTTP server.
 
-// Sends a whole response and ends the call.
+// Sends a complete response and ends the call.
 struct respond {
   call_number call = 0;
-  http::response whole;
+  http::response response;
 };
 
-// Starts a streamed response.
+// Sends the head of a streamed response. write_response and end_response complete it.
 struct begin_response {
   call_number call = 0;
   http::response head;
@@ -47,14 +50,15 @@
   call_number call = 0;
 };
 
-// Accepts no new connections; open calls go on.
+// Stops accepting connections. Open calls continue.
 struct stop_accepting {};
 
 using caller_action =
     std::variant<respond, begin_response, write_response, end_response, stop_accepting>;
 
-// Towards endpoints.
+// Actions towards endpoints.
 
+// Sends `message` to an endpoint. With `streamed`, body bytes are reported as they arrive.
 struct start_exchange {
   exchange_number exchange = 0;
   http::socket_address to;
@@ -67,14 +71,14 @@
   exchange_number exchange = 0;
 };
 
-// Asks an endpoint for its load.
+// Requests an endpoint's load report.
 struct poll_load {
   std::string endpoint;
   http::socket_address to;
   mono_time deadline;
 };
 
-// Asks an engine for its cache events after a sequence number.
+// Requests an engine's cache events that follow the sequence number `after`.
 struct poll_cache_events {
   std::string endpoint;
   http::socket_address to;
@@ -82,26 +86,27 @@
   mono_time deadline;
 };
 
-// Closes idle connections, as when an endpoint leaves.
-struct forget_address {
+// Closes the idle connections to an address, for example of an endpoint that has left.
+struct close_idle_connections {
   http::socket_address address;
 };
 
-using endpoint_action =
-    std::variant<start_exchange, cancel_exchange, poll_load, poll_cache_events, forget_address>;
+using endpoint_action = std::variant<start_exchange, cancel_exchange, poll_load, poll_cache_events,
+                                     close_idle_connections>;
 
-// Towards the platform.
+// Actions towards the platform: calls of the object API and the cloud API.
 
+// Calls the object API. The result comes as a store_answer.
 struct call_store {
   store_call_number call = 0;
   store_operation operation;
   mono_time deadline;
 };
 
-// Number that ties a cloud API's answer to its call.
+// Matches a cloud_answer with its call_cloud.
 using cloud_call_number = std::uint64_t;
 
-// Calls the cloud API.
+// Calls the cloud API. The result comes as a cloud_answer.
 struct call_cloud {
   cloud_call_number call = 0;
   http::request message;
@@ -110,8 +115,9 @@
 
 using platform_action = std::variant<call_store, call_cloud>;
 
-// Towards other daemons.
+// Actions towards other daemons.
 
+// Calls a peer. The result comes as peer_response_received or peer_call_failed.
 struct send_to_peer {
   peer_call_number call = 0;
   http::socket_address to;
@@ -119,6 +125,7 @@
   mono_time deadline;
 };
 
+// Answers a peer's call, which came as peer_request_received.
 struct reply_to_peer {
   peer_reply_number reply = 0;
   peer_response message;
@@ -126,17 +133,18 @@
 
 using peer_action = std::variant<send_to_peer, reply_to_peer>;
 
-// Logs.
+// Actions that concern the process.
 
 enum class severity { debug, info, warn, error };
 
+// Writes one log line with its fields as key-value pairs.
 struct log_event {
   severity level = severity::info;
   std::string message;
   std::vector<std::pair<std::string, std::string>> fields;
 };
 
-// The daemon has nothing left to do and may end.
+// Ends the process. The daemon has drained.
 struct stop_process {};
 
 using process_action = std::variant<log_event, stop_process>;
--- a/include/wisteriaflow/core/daemon_core.h
+++ b/include/wisteriaflow/core/daemon_core.h
@@ -1,11 +1,11 @@
-// Everything that a daemon decides, free of sockets, threads and clocks.
+// The decision logic of a daemon as a state machine without sockets, threads or clocks.
 //
-// The shells hand in events with the current time and carry out the actions that come back. The
-// same code runs in the daemon and in tests that feed it events by hand.
+// The daemon's I/O components pass in events with the current time and perform the actions that are
+// returned. Tests drive the same code with simulated events and time.
 //
 //   daemon_core core(options, now);
-//   for (const auto& a : core.handle(call_received{1, request}, now)) { carry_out(a); }
-//   // and again with ticked{} at core.wake_at()
+//   for (const auto& a : core.handle(call_received{1, request}, now)) { perform(a); }
+//   // Call handle(ticked{}, now) at core.wake_at().
 
 #ifndef WISTERIAFLOW_CORE_DAEMON_CORE_H_
 #define WISTERIAFLOW_CORE_DAEMON_CORE_H_
@@ -28,7 +28,8 @@
 
 namespace wisteriaflow::core {
 
-// The capacity duty: instances are started and released by the daemon that holds its lease.
+// Options of capacity planning. The daemon that holds the capacity lease launches and releases
+// instances.
 struct capacity_options {
   bool enabled = false;
   std::chrono::milliseconds plan_period{5'000};
@@ -39,16 +40,16 @@
   capacity::planner_options planner;
 };
 
-// What a core needs to know of its daemon. Defaults are those of the settings.
+// Options of a daemon_core. The defaults are those of the daemon's settings.
 struct daemon_core_options {
   daemon_id self;
   instance_id instance;
   availability_zone zone;
   http::socket_address caller_address;
   http::socket_address peer_address;
-  std::vector<http::socket_address> seeds; // peers' addresses known beforehand
-  std::uint64_t seed = 0;                  // of random choices
-  bool has_cloud = false;                  // whether reclaim notices can be polled
+  std::vector<http::socket_address> seeds; // addresses of peers to contact at the start
+  std::uint64_t seed = 0;                  // of the random number generator
+  bool has_cloud = false;                  // a cloud API with reclaim notices is configured
 
   std::chrono::milliseconds gossip_period{1'000};
   int gossip_fanout = 2;
@@ -71,14 +72,14 @@
   std::size_t subset_size = 64;
   std::chrono::milliseconds load_period{1'000};
   std::chrono::milliseconds first_token_target{540};
-  double retry_budget = 0.1; // of fresh requests
+  double retry_budget = 0.1; // retries as a fraction of new requests
 
   std::chrono::milliseconds drain_grace{20'000};
 
   capacity_options capacity;
 };
 
-// One daemon's decisions. Not thread-safe: one thread owns it.
+// The state machine of one daemon. Not thread-safe: all calls must come from one thread.
 class daemon_core {
  public:
   daemon_core(daemon_core_options options, clock_reading now);
@@ -86,10 +87,10 @@
   daemon_core(const daemon_core&) = delete;
   daemon_core& operator=(const daemon_core&) = delete;
 
-  // Takes one event and returns what is to be done, in order.
+  // Processes one event and the timers that are due. Returns the actions to perform, in order.
   [[nodiscard]] std::vector<action> handle(event e, clock_reading now);
 
-  // When the next ticked{} is due, if no other event comes first.
+  // Returns when handle() must be called with ticked{}, unless another event comes earlier.
   [[nodiscard]] std::optional<mono_time> wake_at() const;
 
  private:
--- a/include/wisteriaflow/core/metrics.h
+++ b/include/wisteriaflow/core/metrics.h
@@ -1,11 +1,11 @@
-// Counters, gauges and latency histograms of one daemon, with their text exposition.
+// Counters, gauges and duration histograms of one daemon, rendered in the Prometheus text format.
 //
 //   metrics m;
 //   m.count("requests_total", {{"outcome", "answered"}});
 //   m.observe("first_token_seconds", 0.12);
-//   m.render();  // the Prometheus text format
+//   m.render();
 //
-// Names carry the prefix `wisteriaflow_` in the exposition. docs/REFERENCE.md lists them.
+// Rendered names have the prefix `wisteriaflow_`. docs/REFERENCE.md lists them.
 
 #ifndef WISTERIAFLOW_CORE_METRICS_H_
 #define WISTERIAFLOW_CORE_METRICS_H_
@@ -22,8 +22,9 @@
 // Label names and values of one series.
 using metric_labels = std::vector<std::pair<std::string, std::string>>;
 
-// All metrics of a daemon. The number of series is bounded: a series over the bound is counted
-// under `series_dropped_total` instead, so that labels from callers cannot fill the memory.
+// All metrics of a daemon. At most `series_limit` series of counters and gauges exist, so that
+// label values that callers choose cannot exhaust memory. Updates of further series are dropped and
+// counted in `series_dropped_total`.
 class metrics {
  public:
   static constexpr std::size_t series_limit = 512;
@@ -39,13 +40,13 @@
   // Sets a gauge.
   void set(std::string_view name, double value, const metric_labels& labels = {});
 
-  // Adds a duration in seconds to a histogram with buckets from 100 microseconds to 100 s.
+  // Adds a duration in seconds to a histogram whose buckets range from 100 microseconds to 100 s.
   void observe(std::string_view name, double seconds);
 
-  // The value of a counter or gauge; 0 if it was never touched.
+  // Returns the value of a counter or gauge, or 0 if the series does not exist.
   [[nodiscard]] double value(std::string_view name, const metric_labels& labels = {}) const;
 
-  // The text exposition format, version 0.0.4, series in a stable order.
+  // Returns the text exposition format, version 0.0.4, with the series in a stable order.
   [[nodiscard]] std::string render() const;
 
  private:
--- a/include/wisteriaflow/core/store.h
+++ b/include/wisteriaflow/core/store.h
@@ -1,4 +1,7 @@
-// What the core asks of the platform's object API, and what it is told.
+// Operations on the platform's object API (the store) and their results.
+//
+// Objects are JSON documents, identified by the plural of their kind and their name. Each object
+// has a version, and writes can be conditional on it.
 
 #ifndef WISTERIAFLOW_CORE_STORE_H_
 #define WISTERIAFLOW_CORE_STORE_H_
@@ -14,7 +17,7 @@
 
 namespace wisteriaflow::core {
 
-// Number that ties an answer to its call.
+// Matches a store_answer with its call_store.
 using store_call_number = std::uint64_t;
 
 struct store_list {
@@ -26,13 +29,13 @@
   std::string name;
 };
 
-// Creates `document` if its name is free.
+// Creates an object. Fails with `conflict` if the name exists.
 struct store_create {
   std::string plural;
   boost::json::value document;
 };
 
-// Replaces the object if its version is the one in `document`.
+// Replaces an object. Fails with `conflict` if its version is not the one in `document`.
 struct store_replace {
   std::string plural;
   boost::json::value document;
@@ -46,18 +49,18 @@
 using store_operation =
     std::variant<store_list, store_get, store_create, store_replace, store_remove>;
 
-// How a call ended. After `unavailable` a write may have taken effect; after `not_sent` it surely
-// has not and will not.
+// Result of a call. After `unavailable`, a write may have taken effect or may still do so. After
+// `not_sent`, it has not and will not.
 enum class store_status { ok, conflict, not_found, rejected, not_sent, unavailable };
 
-// One object as the store holds it.
+// An object as stored.
 struct store_object {
   std::string name;
   std::uint64_t version = 0;
   boost::json::value document;
 };
 
-// Tells the core how a call ended.
+// The event that ends a call_store.
 struct store_answer {
   store_call_number call = 0;
   store_status status = store_status::unavailable;
--- a/include/wisteriaflow/core/timer_queue.h
+++ b/include/wisteriaflow/core/timer_queue.h
@@ -1,8 +1,8 @@
-// Deadlines of the core and what is to be done when they pass.
+// Timers of the core, driven by the caller's clock.
 //
 //   timer_queue timers;
-//   timers.at(now + 1s, [] { ... });
-//   timers.run_due(later);
+//   const auto timer = timers.schedule(now + 1s, [] { ... });
+//   timers.run_due(now + 2s); // runs the callback, unless timers.cancel(timer) came first
 
 #ifndef WISTERIAFLOW_CORE_TIMER_QUEUE_H_
 #define WISTERIAFLOW_CORE_TIMER_QUEUE_H_
@@ -17,57 +17,58 @@
 
 namespace wisteriaflow::core {
 
-// Names one scheduled call, for cancelling it. 0 names none.
+// Identifies a scheduled callback for cancel(). 0 is never used for one.
 using timer_number = std::uint64_t;
 
-// Calls functions at deadlines, in order of deadline and then of scheduling.
+// Runs callbacks at their deadlines. Callbacks with the same deadline run in the order in which
+// they were scheduled.
 class timer_queue {
  public:
-  // Schedules `run` for `deadline`.
-  timer_number at(mono_time deadline, std::function<void()> run)
+  // Schedules `run` for `deadline` and returns its number.
+  timer_number schedule(mono_time deadline, std::function<void()> run)
   {
     const key k{deadline, ++last_};
     deadlines_.emplace(last_, deadline);
-    waiting_.emplace(k, std::move(run));
+    callbacks_.emplace(k, std::move(run));
     return last_;
   }
 
-  // Cancels a scheduled call; no effect if it has run.
+  // Cancels a callback. Has no effect if it has run.
   void cancel(timer_number number)
   {
     const auto it = deadlines_.find(number);
     if (it == deadlines_.end()) {
       return;
     }
-    waiting_.erase({it->second, number});
+    callbacks_.erase({it->second, number});
     deadlines_.erase(it);
   }
 
-  // Runs what is due at `now`, also what a due call schedules for `now`.
+  // Runs all callbacks that are due at `now`, including those that a callback schedules for `now`.
   void run_due(mono_time now)
   {
-    while (!waiting_.empty() && waiting_.begin()->first.first <= now) {
-      const auto it = waiting_.begin();
+    while (!callbacks_.empty() && callbacks_.begin()->first.first <= now) {
+      const auto it = callbacks_.begin();
       const auto run = std::move(it->second);
       deadlines_.erase(it->first.second);
-      waiting_.erase(it);
+      callbacks_.erase(it);
       run();
     }
   }
 
-  // The next deadline, if any.
-  [[nodiscard]] std::optional<mono_time> next() const
+  // Returns the earliest deadline, if any.
+  [[nodiscard]] std::optional<mono_time> next_deadline() const
   {
-    if (waiting_.empty()) {
+    if (callbacks_.empty()) {
       return std::nullopt;
     }
-    return waiting_.begin()->first.first;
+    return callbacks_.begin()->first.first;
   }
 
  private:
   using key = std::pair<mono_time, timer_number>;
 
-  std::map<key, std::function<void()>> waiting_;
+  std::map<key, std::function<void()>> callbacks_;
   std::map<timer_number, mono_time> deadlines_;
   timer_number last_ = 0;
 };
--- a/include/wisteriaflow/daemon/endpoint_side.h
+++ b/include/wisteriaflow/daemon/endpoint_side.h
@@ -32,7 +32,7 @@
   void take(const core::cancel_exchange& a);
   void take(const core::poll_load& a);
   void take(const core::poll_cache_events& a);
-  void take(const core::forget_address& a);
+  void take(const core::close_idle_connections& a);
 
   boost::asio::awaitable<void> run(core::start_exchange a, std::shared_ptr<http::exchange> handle);
   boost::asio::awaitable<void> run_whole(core::start_exchange a);
--- a/src/core/answer_places.cc
+++ b/src/core/answer_places.cc
@@ -8,22 +8,22 @@
 namespace wisteriaflow::core::internal {
 namespace {
 
-constexpr std::size_t keepers_of_each_key = 2;
-// At about 150 bytes each; the oldest deadline goes first when there are more.
-constexpr std::size_t place_limit = 16'384;
+constexpr std::size_t replicas_per_key = 2;
+// An entry takes about 150 bytes. Above this limit, the entry that expires first is evicted.
+constexpr std::size_t max_entries = 16'384;
 
 } // namespace
 
-hash128 place_key_of(const requests::answer_key& key)
+hash128 directory_key_of(const requests::answer_key& key)
 {
   return hash128_of(key.workspace.value() + "\n" + key.key);
 }
 
-std::vector<daemon_id> answer_places::keepers_of(const hash128& key) const
+std::vector<daemon_id> answer_directory::replicas_of(const hash128& key) const
 {
   auto daemons = fleet_.live_daemon_ids();
   const auto score = [&](const daemon_id& id) { return rendezvous_score(key.low, id.value()); };
-  const auto n = std::min(keepers_of_each_key, daemons.size());
+  const auto n = std::min(replicas_per_key, daemons.size());
   std::partial_sort(daemons.begin(), daemons.begin() + static_cast<std::ptrdiff_t>(n),
                     daemons.end(),
                     [&](const daemon_id& a, const daemon_id& b) { return score(a) > score(b); });
@@ -31,126 +31,127 @@
   return daemons;
 }
 
-void answer_places::announce(const requests::answer_key& key, const std::string& caller_address)
+void answer_directory::publish(const requests::answer_key& key, const std::string& caller_address)
 {
   const auto until = context_.now().wall + context_.options().answer_retention;
   const place_note note{
-      .key = place_key_of(key), .caller_address = caller_address, .keep_until = until};
-  auto keepers = keepers_of(note.key);
-  for (const auto& keeper : keepers) {
-    tell(keeper, note);
+      .key = directory_key_of(key), .caller_address = caller_address, .keep_until = until};
+  auto replicas = replicas_of(note.key);
+  for (const auto& replica : replicas) {
+    send_note(replica, note);
   }
   if (caller_address != to_string(context_.options().caller_address)) {
-    own_.erase(note.key); // handed over: its new place tells the keepers from now on
-  } else if (own_.size() < place_limit) {
-    own_.insert_or_assign(note.key, own_answer{until, std::move(keepers)});
+    local_answers_.erase(note.key); // handed over: the peer keeps the replicas up to date
+  } else if (local_answers_.size() < max_entries) {
+    local_answers_.insert_or_assign(note.key, local_answer{until, std::move(replicas)});
   }
 }
 
-void answer_places::tell(const daemon_id& keeper, const place_note& note)
+void answer_directory::send_note(const daemon_id& replica, const place_note& note)
 {
-  if (keeper == context_.options().self) {
+  if (replica == context_.options().self) {
     on_note(note);
-  } else if (const auto to = fleet_.peer_address_of(keeper)) {
+  } else if (const auto to = fleet_.peer_address_of(replica)) {
     context_.call_peer(*to, note, [](const peer_response*) {});
   }
 }
 
-// A keeper that left has forgotten, and one that came does not know yet.
-void answer_places::on_daemons_changed()
+// The entries of a daemon that left are lost, and a daemon that joined has none yet.
+void answer_directory::on_daemons_changed()
 {
   auto live = fleet_.live_daemon_ids();
-  if (live == live_) {
+  if (live == last_live_daemons_) {
     return;
   }
-  live_ = std::move(live);
+  last_live_daemons_ = std::move(live);
   const auto now = context_.now().wall;
-  std::erase_if(own_, [now](const auto& item) { return item.second.keep_until < now; });
+  std::erase_if(local_answers_, [now](const auto& item) { return item.second.keep_until < now; });
   const auto own = to_string(context_.options().caller_address);
-  for (auto& [key, answer] : own_) {
+  for (auto& [key, answer] : local_answers_) {
     const place_note note{.key = key, .caller_address = own, .keep_until = answer.keep_until};
-    auto keepers = keepers_of(key);
-    for (const auto& keeper : keepers) {
-      if (std::find(answer.told.begin(), answer.told.end(), keeper) == answer.told.end()) {
-        tell(keeper, note);
+    auto replicas = replicas_of(key);
+    for (const auto& replica : replicas) {
+      if (std::find(answer.notified.begin(), answer.notified.end(), replica) ==
+          answer.notified.end()) {
+        send_note(replica, note);
       }
     }
-    answer.told = std::move(keepers);
+    answer.notified = std::move(replicas);
   }
 }
 
-void answer_places::on_note(const place_note& note)
+void answer_directory::on_note(const place_note& note)
 {
   const auto now = context_.now().wall;
-  forget(note.key);
-  while (!by_deadline_.empty() &&
-         (by_deadline_.begin()->first < now || by_deadline_.size() >= place_limit)) {
-    places_.erase(by_deadline_.begin()->second);
-    by_deadline_.erase(by_deadline_.begin());
+  erase_entry(note.key);
+  while (!by_expiry_.empty() &&
+         (by_expiry_.begin()->first < now || by_expiry_.size() >= max_entries)) {
+    entries_.erase(by_expiry_.begin()->second);
+    by_expiry_.erase(by_expiry_.begin());
   }
-  places_.emplace(note.key, place{note.caller_address, note.keep_until});
-  by_deadline_.emplace(note.keep_until, note.key);
+  entries_.emplace(note.key, entry{note.caller_address, note.keep_until});
+  by_expiry_.emplace(note.keep_until, note.key);
 }
 
-void answer_places::forget(const hash128& key)
+void answer_directory::erase_entry(const hash128& key)
 {
-  const auto node = places_.extract(key);
+  const auto node = entries_.extract(key);
   if (node.empty()) {
     return;
   }
-  const auto [first, last] = by_deadline_.equal_range(node.mapped().keep_until);
+  const auto [first, last] = by_expiry_.equal_range(node.mapped().keep_until);
   const auto it = std::find_if(first, last, [&](const auto& item) { return item.second == key; });
-  by_deadline_.erase(it);
+  by_expiry_.erase(it);
 }
 
-std::string answer_places::kept_place(const hash128& key) const
+std::string answer_directory::stored_address(const hash128& key) const
 {
-  const auto it = places_.find(key);
-  return it == places_.end() ? std::string() : it->second.caller_address;
+  const auto it = entries_.find(key);
+  return it == entries_.end() ? std::string() : it->second.caller_address;
 }
 
-// Sending a caller to a daemon that is gone would cost it its own deadline to learn nothing.
-bool answer_places::is_useful(const std::string& place) const
+// A caller that is redirected to a daemon that is gone would wait until its own deadline in vain.
+bool answer_directory::is_usable(const std::string& place) const
 {
   const auto own = to_string(context_.options().caller_address);
-  return !place.empty() && place != own && fleet_.answers_callers_at(place);
+  return !place.empty() && place != own && fleet_.has_live_daemon_at(place);
 }
 
-void answer_places::find(const requests::answer_key& key,
-                         std::function<void(const std::string&)> done)
+void answer_directory::find(const requests::answer_key& key,
+                            std::function<void(const std::string&)> done)
 {
-  const auto hash = place_key_of(key);
-  const auto kept = kept_place(hash);
-  if (is_useful(kept)) {
+  const auto hash = directory_key_of(key);
+  const auto kept = stored_address(hash);
+  if (is_usable(kept)) {
     done(kept);
     return;
   }
-  auto keepers = keepers_of(hash);
-  std::erase(keepers, context_.options().self);
-  ask(hash, std::move(keepers), std::move(done));
+  auto replicas = replicas_of(hash);
+  std::erase(replicas, context_.options().self);
+  query_replicas(hash, std::move(replicas), std::move(done));
 }
 
-void answer_places::ask(const hash128& key, std::vector<daemon_id> keepers,
-                        std::function<void(const std::string&)> done)
+void answer_directory::query_replicas(const hash128& key, std::vector<daemon_id> replicas,
+                                      std::function<void(const std::string&)> done)
 {
-  if (keepers.empty()) {
+  if (replicas.empty()) {
     done({});
     return;
   }
-  const auto next = keepers.back();
-  keepers.pop_back();
+  const auto next = replicas.back();
+  replicas.pop_back();
   const auto to = fleet_.peer_address_of(next);
   if (!to) {
-    ask(key, std::move(keepers), std::move(done));
+    query_replicas(key, std::move(replicas), std::move(done));
     return;
   }
   const request_query query{.key = key, .nonce = 0};
-  context_.call_peer(*to, query, [this, key, keepers, done](const peer_response* response) {
+  context_.call_peer(*to, query, [this, key, replicas, done](const peer_response* response) {
     const auto* status = response == nullptr ? nullptr : std::get_if<request_status>(response);
-    if (status != nullptr && is_useful(status->caller_address)) {
+    if (status != nullptr && is_usable(status->caller_address)) {
       done(status->caller_address);
     } else {
-      ask(key, keepers, done);
+      query_replicas(key, replicas, done);
     }
   });
 }
--- a/src/core/answer_places.h
+++ b/src/core/answer_places.h
@@ -1,7 +1,9 @@
-// Where answers are, so that any daemon can send a caller to the one that has its answer.
+// A distributed directory of answers, so that any daemon can redirect a caller to the daemon that
+// has its answer.
 //
-// Each key has a few daemons, chosen by rendezvous hashing, that are told who runs its request.
-// A daemon that does not know a key asks those. Nothing depends on it but finding an answer.
+// The entry of a key is stored at a few daemons (its replicas), which rendezvous hashing chooses
+// among the live ones. The daemon that runs the request publishes its caller address to them, and a
+// daemon that does not have an answer queries them. The directory serves only to find answers.
 
 #ifndef WISTERIAFLOW_SRC_CORE_ANSWER_PLACES_H_
 #define WISTERIAFLOW_SRC_CORE_ANSWER_PLACES_H_
@@ -17,53 +19,56 @@
 
 namespace wisteriaflow::core::internal {
 
-// Stable name of an answer among all daemons.
-[[nodiscard]] hash128 place_key_of(const requests::answer_key& key);
+// Returns the directory key of an answer, the same at all daemons.
+[[nodiscard]] hash128 directory_key_of(const requests::answer_key& key);
 
-class answer_places {
+class answer_directory {
  public:
-  answer_places(core_context& context, fleet& members) : context_(context), fleet_(members) {}
+  answer_directory(core_context& context, fleet& members) : context_(context), fleet_(members) {}
 
-  // Tells the key's keepers that the answer is, or will be, at `caller_address`.
-  void announce(const requests::answer_key& key, const std::string& caller_address);
+  // Sends the replicas of `key` the address of the daemon that has, or will have, the answer.
+  void publish(const requests::answer_key& key, const std::string& caller_address);
 
-  // Daemons have come or gone: tells keys' new keepers what is to be had here.
+  // Sends the entries of this daemon's answers to their new replicas after the set of live daemons
+  // has changed.
   void on_daemons_changed();
 
-  // A peer announced a place.
+  // Stores an entry that a daemon has published.
   void on_note(const place_note& note);
 
-  // The place kept here; empty if none is.
-  [[nodiscard]] std::string kept_place(const hash128& key) const;
+  // Returns the address that this daemon stores for a key, or an empty string.
+  [[nodiscard]] std::string stored_address(const hash128& key) const;
 
-  // Asks the keepers one after another; `done` gets an empty address if none knows.
+  // Finds the address of the daemon that has an answer: from the local entry, else from the
+  // replicas one after another. `done` gets an empty string if no replica knows a usable address.
+  // It may be called before this returns.
   void find(const requests::answer_key& key, std::function<void(const std::string&)> done);
 
  private:
-  struct place {
+  struct entry {
     std::string caller_address;
     wall_time keep_until;
   };
 
-  // An answer that is, or will be, here.
-  struct own_answer {
+  // An answer that this daemon keeps or is producing, with the replicas that got its entry.
+  struct local_answer {
     wall_time keep_until;
-    std::vector<daemon_id> told;
+    std::vector<daemon_id> notified;
   };
 
-  [[nodiscard]] bool is_useful(const std::string& place) const;
-  [[nodiscard]] std::vector<daemon_id> keepers_of(const hash128& key) const;
-  void forget(const hash128& key);
-  void tell(const daemon_id& keeper, const place_note& note);
-  void ask(const hash128& key, std::vector<daemon_id> keepers,
-           std::function<void(const std::string&)> done);
+  [[nodiscard]] bool is_usable(const std::string& place) const;
+  [[nodiscard]] std::vector<daemon_id> replicas_of(const hash128& key) const;
+  void erase_entry(const hash128& key);
+  void send_note(const daemon_id& replica, const place_note& note);
+  void query_replicas(const hash128& key, std::vector<daemon_id> replicas,
+                      std::function<void(const std::string&)> done);
 
   core_context& context_;
   fleet& fleet_;
-  std::map<hash128, place> places_;
-  std::multimap<wall_time, hash128> by_deadline_;
-  std::map<hash128, own_answer> own_;
-  std::vector<daemon_id> live_; // when the keepers of own_ were told
+  std::map<hash128, entry> entries_;
+  std::multimap<wall_time, hash128> by_expiry_;
+  std::map<hash128, local_answer> local_answers_;
+  std::vector<daemon_id> last_live_daemons_; // for which local_answers_ were last published
 };
 
 } // namespace wisteriaflow::core::internal
--- a/src/core/capacity_documents.cc
+++ b/src/core/capacity_documents.cc
@@ -38,7 +38,7 @@
           .body = json::serialize(body)};
 }
 
-// A label for each requirement that asks for one.
+// Returns labels that satisfy the requirements of the pool's instance selector.
 json::object labels_for(const objects::pool& pool)
 {
   json::object out;
--- a/src/core/capacity_documents.h
+++ b/src/core/capacity_documents.h
@@ -1,4 +1,5 @@
-// Documents of the capacity duty: prices, launches and orders, and its report to operators.
+// HTTP messages and JSON documents of capacity planning: prices, launches, releases, orders and the
+// report to operators.
 
 #ifndef WISTERIAFLOW_SRC_CORE_CAPACITY_DOCUMENTS_H_
 #define WISTERIAFLOW_SRC_CORE_CAPACITY_DOCUMENTS_H_
@@ -18,26 +19,26 @@
 
 namespace wisteriaflow::core::internal {
 
-// A label that launched instances carry: the pool that they were started for.
+// Label of launched instances. Its value is the pool that they were launched for.
 inline constexpr std::string_view pool_label = "wisteriaflow.dev/pool";
 
-// The offers of GET /prices; nothing if the document cannot be read.
+// Parses the offers from the response to GET /prices. Returns nothing if the document is malformed.
 [[nodiscard]] std::optional<std::vector<capacity::offer>> read_prices(std::string_view body);
 
-// The tokens that listed instances were launched with, by instance id.
+// Returns the launch tokens of the listed instances by instance id.
 [[nodiscard]] std::map<std::string, std::string>
 read_launch_tokens(const boost::json::value& instance_list);
 
-// POST /instances. The labels are such that the pool's selector takes the instance.
+// Makes the call POST /instances, with labels that match the pool's instance selector.
 [[nodiscard]] http::request make_launch(const capacity::launch& a, const objects::pool& pool);
 
-// DELETE /instances/{id}.
+// Makes the call DELETE /instances/{id}.
 [[nodiscard]] http::request make_release(const instance_id& id);
 
-// POST /orders of an endpoint.
+// Makes the call POST /orders, by which an endpoint loads a model or an adapter.
 [[nodiscard]] http::request make_order(const capacity::order_load& a);
 
-// What the cloud API's answer to a launch means; null if there was none.
+// Interprets the cloud API's response to a launch. `answer` is null if there was none.
 [[nodiscard]] capacity::launch_answer read_launch_answer(const http::response* answer);
 
 [[nodiscard]] boost::json::object to_json(const capacity::pool_report& report);
--- a/src/core/capacity_inputs.cc
+++ b/src/core/capacity_inputs.cc
@@ -20,7 +20,7 @@
       in.rates.emplace(instance_class, rates);
     }
   }
-  // A model comes before its adapters, and each is loaded once.
+  // Sorting puts a model before its adapters. Each is loaded once.
   std::sort(in.model_loads.begin(), in.model_loads.end());
   const auto same = [](const capacity::model_load& a, const capacity::model_load& b) {
     return a.model == b.model && a.adapter == b.adapter;
@@ -61,7 +61,7 @@
     }
   }
   for (auto& in : out) {
-    measure_demand(in);
+    estimate_demand(in);
   }
   return out;
 }
@@ -82,10 +82,11 @@
           .launched_with = token == listed.launched_with.end() ? std::string() : token->second};
 }
 
-// How busy the endpoints are that this daemon reaches, the others taken to be as busy. The usage
-// that daemons gossip does not serve here: a daemon hears only of workspaces that it serves itself.
-// What waits counts too, so that demand over the capacity shows.
-void capacity_inputs::measure_demand(capacity::pool_input& in) const
+// Estimates the demand of a pool from the load of the endpoints that this daemon reaches, assuming
+// the same load for the others. The gossiped usage is unsuitable, because a daemon receives it only
+// for workspaces that it serves itself. Waiting requests are included, so that demand above the
+// capacity is visible.
+void capacity_inputs::estimate_demand(capacity::pool_input& in) const
 {
   const auto& defaults = context_.options().capacity.planner.default_rates;
   double decoded = 0;
@@ -97,9 +98,10 @@
     }
     const auto rates = in.rates.find(instance.key.instance_class);
     const auto& state = fleet_.endpoints().at(*slot);
-    const double places = std::max(state.report.max_running, 1);
-    const double busy = (state.running_now() + state.waiting_now()) / places;
-    decoded += busy * (rates == in.rates.end() ? defaults : rates->second).decode_tokens_per_second;
+    const double batch_slots = std::max(state.report.max_running, 1);
+    const double batch_load = (state.running_now() + state.waiting_now()) / batch_slots;
+    decoded +=
+        batch_load * (rates == in.rates.end() ? defaults : rates->second).decode_tokens_per_second;
     ++reached;
   }
   if (reached > 0) {
--- a/src/core/capacity_service.cc
+++ b/src/core/capacity_service.cc
@@ -32,7 +32,7 @@
           .seed = context.random()()};
 }
 
-// Object names hold small letters, digits, '-' and '.'.
+// Object names consist of lower-case letters, digits, '-' and '.'.
 std::string as_object_name(std::string text)
 {
   for (auto& c : text) {
@@ -60,12 +60,12 @@
     return;
   }
   feed_lease(capacity::lease_wanted{true});
-  context_.every(options.capacity.plan_period, [this] { fetch_prices(); });
+  context_.run_every(options.capacity.plan_period, [this] { fetch_prices(); });
 }
 
-void capacity_service::leave()
+void capacity_service::stop()
 {
-  leaving_ = true;
+  stopping_ = true;
   feed_lease(capacity::lease_wanted{false});
 }
 
@@ -73,7 +73,7 @@
 {
   listed_.endpoints = read_instance_list(document).endpoints;
   listed_.launched_with = read_launch_tokens(document);
-  listed_once_ = true;
+  has_instance_list_ = true;
   const bool observes = context_.options().capacity.enabled && config_.ready();
   if (observes && !lease_.holds(context_.now().mono)) {
     planner_.observe(inputs_.pools(*config_.current(), listed_), context_.now().mono);
@@ -83,19 +83,19 @@
 void capacity_service::feed_lease(const capacity::lease_event& e)
 {
   for (const auto& a : lease_.handle(e, context_.now())) {
-    std::visit([this](const auto& one) { act(one); }, a);
+    std::visit([this](const auto& one) { perform(one); }, a);
   }
   context_.timers().cancel(lease_timer_);
   if (const auto due = lease_.wake_at()) {
-    // Never at once: a deadline that has passed must not keep the core from other work.
+    // A deadline in the past must not run at once: the core would not get to any other work.
     const auto soonest = context_.now().mono + std::chrono::milliseconds(1);
-    lease_timer_ = context_.timers().at(std::max(*due, soonest),
-                                        [this] { feed_lease(capacity::lease_tick{}); });
+    lease_timer_ = context_.timers().schedule(std::max(*due, soonest),
+                                              [this] { feed_lease(capacity::lease_tick{}); });
   }
-  after_lease_event();
+  apply_lease_state();
 }
 
-void capacity_service::act(const capacity::read_lease& a)
+void capacity_service::perform(const capacity::read_lease& a)
 {
   context_.call_store(
       store_get{std::string(capacity::leases_plural), std::string(lease_name)},
@@ -123,7 +123,7 @@
   }
 }
 
-void capacity_service::act(const capacity::write_lease& a)
+void capacity_service::perform(const capacity::write_lease& a)
 {
   auto document = capacity::encode_lease(std::string(lease_name), a.record, a.version);
   const std::string plural(capacity::leases_plural);
@@ -148,40 +148,40 @@
   }
 }
 
-// Takes the duty up, or goes on with launches whose records have landed.
-void capacity_service::after_lease_event()
+// Starts planning if the lease was acquired, and sends launches whose records are now stored.
+void capacity_service::apply_lease_state()
 {
   const bool holds = lease_.holds(context_.now().mono);
   context_.counters().set("capacity_lease_held", holds ? 1 : 0);
   if (!holds) {
-    waiting_.clear(); // not sent: the ledger has them, if they were written
+    unsent_launches_.clear(); // the next holder finds in the lease those that were recorded
     return;
   }
-  if (planning_under_ != lease_.fencing_number()) {
-    planning_under_ = lease_.fencing_number();
-    waiting_.clear();
+  if (planner_fencing_number_ != lease_.fencing_number()) {
+    planner_fencing_number_ = lease_.fencing_number();
+    unsent_launches_.clear();
     try {
-      planner_.take_over(planning_under_, capacity::decode_launches(lease_.notes()));
+      planner_.take_over(planner_fencing_number_, capacity::decode_launches(lease_.notes()));
     } catch (const capacity::capacity_error& e) {
-      context_.log(severity::error, "launches of the former holder are lost",
+      context_.log(severity::error, "cannot read the previous lease holder's launches",
                    {{"error", e.what()}});
-      planner_.take_over(planning_under_, {});
+      planner_.take_over(planner_fencing_number_, {});
     }
-    context_.log(severity::info, "capacity lease taken",
-                 {{"fencing_number", std::to_string(planning_under_)}});
+    context_.log(severity::info, "capacity lease acquired",
+                 {{"fencing_number", std::to_string(planner_fencing_number_)}});
   }
   send_launches();
 }
 
-bool capacity_service::may_order(bool checks_fencing) const
+bool capacity_service::may_issue_order(bool checks_fencing) const
 {
-  return !leaving_ && lease_.may_issue_order(checks_fencing, context_.now().mono);
+  return !stopping_ && lease_.may_issue_order(checks_fencing, context_.now().mono);
 }
 
 void capacity_service::fetch_prices()
 {
-  // The cloud API knows no fencing numbers.
-  if (!may_order(false) || !config_.ready() || !listed_once_) {
+  // The cloud API does not check fencing numbers.
+  if (!may_issue_order(false) || !config_.ready() || !has_instance_list_) {
     return;
   }
   context_.call_cloud({.method = "GET", .target = "/prices"}, [this](const http::response* answer) {
@@ -189,7 +189,7 @@
         answer == nullptr || answer->status != status_ok ? std::nullopt : read_prices(answer->body);
     if (!offers) {
       context_.counters().count("capacity_plans_total", {{"result", "no_prices"}});
-    } else if (may_order(false)) {
+    } else if (may_issue_order(false)) {
       plan(*offers);
     }
   });
@@ -201,16 +201,16 @@
   const capacity::plan_input input{.offers = offers,
                                    .pools = inputs_.pools(*config_.current(), listed_)};
   for (const auto& a : planner_.plan(input, context_.now())) {
-    std::visit([this](const auto& one) { act(one); }, a);
+    std::visit([this](const auto& one) { perform(one); }, a);
   }
   for (const auto& report : planner_.reports()) {
     context_.counters().set("capacity_serving", report.serving, {{"pool", report.pool}});
     context_.counters().set("capacity_required", report.required, {{"pool", report.pool}});
   }
-  write_launches();
+  store_launches();
 }
 
-void capacity_service::write_launches()
+void capacity_service::store_launches()
 {
   auto notes = capacity::encode_launches(planner_.launches());
   if (notes != lease_.notes()) {
@@ -220,18 +220,18 @@
   }
 }
 
-void capacity_service::act(const capacity::launch& a)
+void capacity_service::perform(const capacity::launch& a)
 {
-  waiting_.push_back(a);
+  unsent_launches_.push_back(a);
 }
 
-// A launch is asked for only once its token is in the store, so that a successor finds it.
+// A launch is sent only after its token is stored in the lease, so that the next holder finds it.
 void capacity_service::send_launches()
 {
-  if (!lease_.notes_written() || !may_order(false)) {
+  if (!lease_.notes_written() || !may_issue_order(false)) {
     return;
   }
-  for (const auto& a : std::exchange(waiting_, {})) {
+  for (const auto& a : std::exchange(unsent_launches_, {})) {
     send_launch(a);
   }
 }
@@ -254,12 +254,12 @@
     }
     planner_.on_launch_answered(a.token, meaning, context_.now());
     if (lease_.holds(context_.now().mono)) {
-      write_launches();
+      store_launches();
     }
   });
 }
 
-void capacity_service::act(const capacity::release& a)
+void capacity_service::perform(const capacity::release& a)
 {
   audit("Instance", a.id.value(), a.cause, "released, pool " + a.pool);
   context_.counters().count("capacity_releases_total");
@@ -272,12 +272,12 @@
   });
 }
 
-void capacity_service::act(const capacity::order_load& a)
+void capacity_service::perform(const capacity::order_load& a)
 {
   const auto it =
       std::find_if(listed_.endpoints.begin(), listed_.endpoints.end(),
                    [&](const membership::member& m) { return m.key.id == a.endpoint.value(); });
-  if (it == listed_.endpoints.end() || !may_order(it->attributes.checks_fencing)) {
+  if (it == listed_.endpoints.end() || !may_issue_order(it->attributes.checks_fencing)) {
     planner_.on_load_answered(a.endpoint, a.load, false);
     return;
   }
@@ -303,7 +303,7 @@
 void capacity_service::audit(const std::string& object_kind, const std::string& name,
                              const std::string& cause, const std::string& detail)
 {
-  // Unique among this holder's records, and rising.
+  // The revision must be unique among this daemon's records and must increase.
   last_audit_ =
       std::max(last_audit_ + 1, static_cast<std::uint64_t>(to_unix_ms(context_.now().wall)));
   config_.audit({.who = context_.options().self.value(),
--- a/src/core/claim_documents.cc
+++ b/src/core/claim_documents.cc
@@ -117,7 +117,7 @@
     return read_result(answer, reads_tail);
   } catch (const claims::malformed_document_error&) {
     return std::nullopt;
-  } catch (const std::exception&) { // Boost.JSON's, for a document without a spec
+  } catch (const std::exception&) { // thrown by Boost.JSON for a document without a spec
     return std::nullopt;
   }
 }
--- a/src/core/claim_documents.h
+++ b/src/core/claim_documents.h
@@ -1,4 +1,5 @@
-// Carries the claim owners' store operations over the object API.
+// Converts the store operations of claim shard owners to calls of the object API, and the answers
+// back.
 
 #ifndef WISTERIAFLOW_SRC_CORE_CLAIM_DOCUMENTS_H_
 #define WISTERIAFLOW_SRC_CORE_CLAIM_DOCUMENTS_H_
@@ -11,11 +12,11 @@
 
 namespace wisteriaflow::core::internal {
 
-// The object API call for one operation on a shard.
+// Converts one operation on a shard to an object API call.
 [[nodiscard]] store_operation to_store_operation(std::uint32_t shard,
                                                  const claims::store_operation& operation);
 
-// What the answer means for the owner; nothing if the document cannot be read.
+// Converts the object API's answer to `operation`. Returns nothing if the document is malformed.
 [[nodiscard]] std::optional<claims::store_result>
 to_claim_result(const claims::store_operation& operation, const store_answer& answer);
 
--- a/src/core/claim_service.cc
+++ b/src/core/claim_service.cc
@@ -10,7 +10,7 @@
 namespace wisteriaflow::core::internal {
 namespace {
 
-// Turns the last action of an asker into an outcome; nothing for the others.
+// Returns the outcome if an action of a claim client is its final one, else nothing.
 struct outcome_of {
   std::optional<claim_outcome> operator()(const claims::send_claim& /*a*/) const { return {}; }
   std::optional<claim_outcome> operator()(const claims::query_executor& /*a*/) const { return {}; }
@@ -20,7 +20,7 @@
   }
 };
 
-claims::execution_state standing_of(request_state state)
+claims::execution_state execution_state_of(request_state state)
 {
   switch (state) {
   case request_state::in_flight:
@@ -69,20 +69,20 @@
   }
 }
 
-void claim_service::leave()
+void claim_service::release_shards()
 {
   leaving_ = true;
   update_ownership();
 }
 
-bool claim_service::released() const
+bool claim_service::all_released() const
 {
   return std::all_of(owners_.begin(), owners_.end(), [](const claims::claim_shard_owner& o) {
     return o.state() == claims::ownership::not_owner;
   });
 }
 
-void claim_service::on_claim_asked(peer_reply_number reply, const claims::claim_request& request)
+void claim_service::on_peer_claim(peer_reply_number reply, const claims::claim_request& request)
 {
   if (request.shard >= owners_.size()) {
     context_.emit(peer_action(reply_to_peer{reply, claims::claim_reply{}}));
@@ -97,27 +97,27 @@
 {
   auto& owner = owners_.at(shard);
   for (const auto& a : owner.handle(e, context_.now())) {
-    std::visit([&](const auto& one) { act(shard, one); }, a);
+    std::visit([&](const auto& one) { perform(shard, one); }, a);
   }
   context_.timers().cancel(owner_timers_[shard]);
   if (const auto due = owner.wake_at()) {
     owner_timers_[shard] =
-        context_.timers().at(*due, [this, shard] { feed_owner(shard, claims::tick{}); });
+        context_.timers().schedule(*due, [this, shard] { feed_owner(shard, claims::tick{}); });
   }
 }
 
-void claim_service::act(std::uint32_t shard, const claims::store_call& a)
+void claim_service::perform(std::uint32_t shard, const claims::store_call& a)
 {
   context_.call_store(
       to_store_operation(shard, a.operation),
       [this, shard, id = a.id, operation = a.operation](const store_answer& answer) {
-        answer_owner(shard, id, operation, answer);
+        on_store_answer(shard, id, operation, answer);
       });
 }
 
-void claim_service::answer_owner(std::uint32_t shard, std::uint64_t id,
-                                 const claims::store_operation& operation,
-                                 const store_answer& answer)
+void claim_service::on_store_answer(std::uint32_t shard, std::uint64_t id,
+                                    const claims::store_operation& operation,
+                                    const store_answer& answer)
 {
   auto result = to_claim_result(operation, answer);
   if (!result) {
@@ -129,7 +129,7 @@
   feed_owner(shard, claims::store_answer{.id = id, .result = std::move(*result)});
 }
 
-void claim_service::act(std::uint32_t /*shard*/, const claims::send_reply& a)
+void claim_service::perform(std::uint32_t /*shard*/, const claims::send_reply& a)
 {
   auto node = replies_.extract(a.token);
   if (node.empty()) {
@@ -139,61 +139,64 @@
     context_.emit(peer_action(reply_to_peer{*reply, a.reply}));
     return;
   }
-  // Answers an own asker once the owner's work on this event is done.
+  // A reply to this daemon's own claim is delivered after the owner has processed the current
+  // event.
   const auto nonce = std::get<1>(node.mapped());
-  context_.timers().at(context_.now().mono,
-                       [this, nonce, reply = a.reply] { feed_asker(nonce, reply); });
+  context_.timers().schedule(context_.now().mono,
+                             [this, nonce, reply = a.reply] { feed_client(nonce, reply); });
 }
 
-std::uint64_t claim_service::claim(const claim_wish& wish, claim_callback done)
+std::uint64_t claim_service::claim(const claim_parameters& parameters, claim_callback done)
 {
   const auto& options = context_.options();
   const auto nonce = context_.random()() | 1U; // never 0
-  const claims::claim_request request{.shard = claims::shard_of(wish.key, options.claims.shards),
-                                      .key = wish.key,
-                                      .body_hash = wish.body_hash,
-                                      .created = wish.created,
+  const claims::claim_request request{.shard =
+                                          claims::shard_of(parameters.key, options.claims.shards),
+                                      .key = parameters.key,
+                                      .body_hash = parameters.body_hash,
+                                      .created = parameters.created,
                                       .executor = options.self,
                                       .nonce = nonce,
-                                      .workspace = wish.workspace};
-  claims::claim_client asker({.request = request,
-                              .deadline = wish.deadline,
-                              .settings = options.claims,
-                              .seed = context_.random()()});
-  askings_.emplace(nonce, asking{.asker = std::move(asker), .done = std::move(done)});
-  feed_asker(nonce, claims::claim_started{});
+                                      .workspace = parameters.workspace};
+  claims::claim_client client({.request = request,
+                               .deadline = parameters.deadline,
+                               .settings = options.claims,
+                               .seed = context_.random()()});
+  pending_claims_.emplace(nonce,
+                          pending_claim{.client = std::move(client), .done = std::move(done)});
+  feed_client(nonce, claims::claim_started{});
   return nonce;
 }
 
 void claim_service::cancel(std::uint64_t nonce)
 {
-  feed_asker(nonce, claims::claim_cancelled{});
+  feed_client(nonce, claims::claim_cancelled{});
 }
 
-void claim_service::feed_asker(std::uint64_t nonce, const claims::claim_client_event& e)
+void claim_service::feed_client(std::uint64_t nonce, const claims::claim_client_event& e)
 {
-  const auto it = askings_.find(nonce);
-  if (it == askings_.end()) {
-    return; // finished
+  const auto it = pending_claims_.find(nonce);
+  if (it == pending_claims_.end()) {
+    return; // The claim has ended.
   }
-  const auto actions = it->second.asker.handle(e, context_.now());
+  const auto actions = it->second.client.handle(e, context_.now());
   context_.timers().cancel(it->second.timer);
-  if (const auto due = it->second.asker.wake_at()) {
-    it->second.timer =
-        context_.timers().at(*due, [this, nonce] { feed_asker(nonce, claims::claim_tick{}); });
+  if (const auto due = it->second.client.wake_at()) {
+    it->second.timer = context_.timers().schedule(
+        *due, [this, nonce] { feed_client(nonce, claims::claim_tick{}); });
   }
   for (const auto& a : actions) {
     if (const auto outcome = std::visit(outcome_of{}, a)) {
       finish(nonce, *outcome);
     } else if (const auto* ask = std::get_if<claims::send_claim>(&a)) {
-      act(nonce, *ask);
+      perform(nonce, *ask);
     } else if (const auto* query = std::get_if<claims::query_executor>(&a)) {
-      act(nonce, *query);
+      perform(nonce, *query);
     }
   }
 }
 
-void claim_service::act(std::uint64_t nonce, const claims::send_claim& a)
+void claim_service::perform(std::uint64_t nonce, const claims::send_claim& a)
 {
   auto owner = a.owner;
   if (owner.empty()) {
@@ -208,49 +211,49 @@
   }
   const auto to = fleet_.peer_address_of(owner);
   if (!to) {
-    context_.timers().at(context_.now().mono,
-                         [this, nonce] { feed_asker(nonce, claims::claim_unanswered{}); });
+    context_.timers().schedule(context_.now().mono,
+                               [this, nonce] { feed_client(nonce, claims::claim_unanswered{}); });
     return;
   }
   context_.call_peer(*to, a.request, [this, nonce](const peer_response* response) {
     const auto* reply = response == nullptr ? nullptr : std::get_if<claims::claim_reply>(response);
     if (reply == nullptr) {
-      feed_asker(nonce, claims::claim_unanswered{});
+      feed_client(nonce, claims::claim_unanswered{});
     } else {
-      feed_asker(nonce, *reply);
+      feed_client(nonce, *reply);
     }
   });
 }
 
-void claim_service::act(std::uint64_t nonce, const claims::query_executor& a)
+void claim_service::perform(std::uint64_t nonce, const claims::query_executor& a)
 {
   if (fleet_.is_gone(a.executor)) {
-    // Nobody else knows what became of it. Asking on would only keep the caller waiting.
-    context_.timers().at(context_.now().mono, [this, nonce] {
-      feed_asker(nonce, claims::executor_answered{claims::execution_state::outcome_unknown});
+    // No other daemon knows the outcome, and further queries would only delay the caller.
+    context_.timers().schedule(context_.now().mono, [this, nonce] {
+      feed_client(nonce, claims::executor_answered{claims::execution_state::outcome_unknown});
     });
     return;
   }
   const auto to = fleet_.peer_address_of(a.executor);
   if (!to) {
-    context_.timers().at(context_.now().mono,
-                         [this, nonce] { feed_asker(nonce, claims::query_unanswered{}); });
+    context_.timers().schedule(context_.now().mono,
+                               [this, nonce] { feed_client(nonce, claims::query_unanswered{}); });
     return;
   }
   const request_query query{.key = a.key, .nonce = a.nonce};
   context_.call_peer(*to, query, [this, nonce](const peer_response* response) {
     const auto* status = response == nullptr ? nullptr : std::get_if<request_status>(response);
     if (status == nullptr) {
-      feed_asker(nonce, claims::query_unanswered{});
+      feed_client(nonce, claims::query_unanswered{});
     } else {
-      feed_asker(nonce, claims::executor_answered{standing_of(status->state)});
+      feed_client(nonce, claims::executor_answered{execution_state_of(status->state)});
     }
   });
 }
 
 void claim_service::finish(std::uint64_t nonce, const claim_outcome& outcome)
 {
-  auto node = askings_.extract(nonce);
+  auto node = pending_claims_.extract(nonce);
   if (node.empty()) {
     return;
   }
@@ -260,7 +263,7 @@
   node.mapped().done(outcome);
 }
 
-// Peers may ask for as long as the key is remembered; after that nobody asks.
+// Peers may query the nonce as long as the claim's key is retained, but not later.
 void claim_service::note_not_run(std::uint64_t nonce)
 {
   const auto& claims = context_.options().claims;
@@ -268,7 +271,7 @@
   std::erase_if(not_run_, [now = context_.now().mono](const auto& e) { return e.second < now; });
 }
 
-bool claim_service::never_ran(std::uint64_t nonce) const
+bool claim_service::was_never_dispatched(std::uint64_t nonce) const
 {
   return not_run_.contains(nonce);
 }
--- a/src/core/configuration.cc
+++ b/src/core/configuration.cc
@@ -8,17 +8,19 @@
 namespace wisteriaflow::core::internal {
 namespace {
 
-// A daemon to whom no peer names a revision this long takes the store's own list for the floor.
-constexpr std::chrono::milliseconds peers_silent_after{3'000};
-constexpr std::chrono::milliseconds floor_check{200};
-// A fetch that failed, or found another one under way, is made up for this soon.
+// If no peer has reported a configuration revision for this long after the start, the revision of
+// the store's list is taken as the floor.
+constexpr std::chrono::milliseconds peer_floor_timeout{3'000};
+constexpr std::chrono::milliseconds floor_check_interval{200};
+// A fetch that failed, or was skipped because another one was running, is repeated at this
+// interval.
 constexpr std::chrono::milliseconds catch_up_period{500};
-// A change is written to the audit trail by the daemon that ranks first for it; others follow, so
-// that it is written though the first one dies.
+// The daemon that ranks first for a change writes its audit record. The daemons that rank next
+// write it later as well, so that the record exists even if the first one crashes.
 constexpr std::size_t audit_writers = 3;
 constexpr std::chrono::milliseconds audit_stagger{3'000};
 constexpr std::chrono::milliseconds audit_retry{2'000};
-constexpr unsigned audit_tries = 30;
+constexpr unsigned audit_attempts = 30;
 
 objects::audit_change audit_change_of(objects::change_kind kind)
 {
@@ -38,27 +40,27 @@
 
 configuration::configuration(core_context& context, fleet& members, std::function<void()> changed)
     : context_(context), fleet_(members), changed_(std::move(changed)),
-      silent_at_(context.now().mono + peers_silent_after)
+      floor_wait_until_(context.now().mono + peer_floor_timeout)
 {
 }
 
 void configuration::start()
 {
   check_floor();
-  context_.every(catch_up_period, [this] { catch_up(); });
+  context_.run_every(catch_up_period, [this] { catch_up(); });
 }
 
-// Until the floor is known this daemon may not serve: what the store lists could be stale.
+// This daemon must not serve until it knows the floor, because the store's list may be stale.
 void configuration::check_floor()
 {
   if (ready()) {
     return;
   }
-  if (!floor_named_ && context_.now().mono >= silent_at_) {
+  if (!floor_from_peer_ && context_.now().mono >= floor_wait_until_) {
     store_.on_peers_silent();
-    after({});
+    apply_changes({});
   }
-  context_.timers().at(context_.now().mono + floor_check, [this] { check_floor(); });
+  context_.timers().schedule(context_.now().mono + floor_check_interval, [this] { check_floor(); });
 }
 
 void configuration::on_listed(const declarations_listed& e)
@@ -68,15 +70,15 @@
   for (const auto& object : e.objects) {
     documents.push_back(object.document);
   }
-  after(store_.on_list(e.version, documents));
+  apply_changes(store_.on_list(e.version, documents));
 }
 
 void configuration::on_changed(const declaration_changed& e)
 {
   if (e.deleted) {
-    after(store_.on_deleted(e.object.name, e.object.version));
+    apply_changes(store_.on_deleted(e.object.name, e.object.version));
   } else {
-    after(store_.on_put(e.object.document));
+    apply_changes(store_.on_put(e.object.document));
   }
 }
 
@@ -85,32 +87,33 @@
   if (highest.holder.empty() || highest.holder == context_.options().self) {
     return;
   }
-  floor_named_ = true;
+  floor_from_peer_ = true;
   store_.on_peer_revision(highest.revision);
-  if (highest.revision >= heard_.revision) {
-    heard_ = highest;
+  if (highest.revision >= highest_peer_revision_.revision) {
+    highest_peer_revision_ = highest;
   }
   catch_up();
 }
 
 void configuration::catch_up()
 {
-  // A watch may have brought the highest revision without those before it, so that until this
-  // daemon is ready the revision alone does not tell that nothing is missing.
+  // A watch may deliver the highest revision without earlier ones. Until this daemon is ready, its
+  // revision therefore does not show that no object is missing.
   const auto known = ready() ? store_.revision() : 0;
-  if (heard_.revision > known) {
+  if (highest_peer_revision_.revision > known) {
     fetch(known);
   }
 }
 
-// A peer knows more: its answer does not wait for the store, which may be down.
+// Fetches the configuration from a peer that has a higher revision. This does not depend on the
+// store, which may be unavailable.
 void configuration::fetch(std::uint64_t known)
 {
   if (fetching_) {
     return;
   }
-  const bool any = ask_any_ || fleet_.is_gone(heard_.holder);
-  const auto to = any ? any_peer() : fleet_.peer_address_of(heard_.holder);
+  const bool any = query_any_peer_ || fleet_.is_gone(highest_peer_revision_.holder);
+  const auto to = any ? random_peer() : fleet_.peer_address_of(highest_peer_revision_.holder);
   if (!to) {
     return;
   }
@@ -122,17 +125,18 @@
                            response == nullptr
                                ? nullptr
                                : std::get_if<objects::configuration_snapshot>(response);
-                       // Who named the revision may only have heard of it.
-                       ask_any_ = snapshot == nullptr || snapshot->revision < heard_.revision;
-                       // A peer that knows no more than was asked after sends no objects: that
-                       // none are there must not be taken for their deletion.
+                       // The peer that reported the revision may only have received it by gossip.
+                       query_any_peer_ = snapshot == nullptr ||
+                                         snapshot->revision < highest_peer_revision_.revision;
+                       // A peer without a higher revision sends no objects. This must not be
+                       // applied as the deletion of all objects.
                        if (snapshot != nullptr && snapshot->revision > known) {
-                         after(store_.on_peer_snapshot(*snapshot));
+                         apply_changes(store_.on_peer_snapshot(*snapshot));
                        }
                      });
 }
 
-std::optional<http::socket_address> configuration::any_peer() const
+std::optional<http::socket_address> configuration::random_peer() const
 {
   auto daemons = fleet_.live_daemon_ids();
   std::erase(daemons, context_.options().self);
@@ -151,7 +155,7 @@
   return store_.snapshot();
 }
 
-void configuration::after(const std::vector<objects::configuration_change>& changes)
+void configuration::apply_changes(const std::vector<objects::configuration_change>& changes)
 {
   fleet_.set_configuration(store_.current(), store_.watch_from());
   context_.counters().set("configuration_revision", static_cast<double>(store_.revision()));
@@ -190,12 +194,12 @@
     return;
   }
   const auto due = context_.now().mono + rank * audit_stagger;
-  context_.timers().at(due, [this, document = objects::encode_audit_record(record)] {
-    write_audit(document, audit_tries);
+  context_.timers().schedule(due, [this, document = objects::encode_audit_record(record)] {
+    write_audit(document, audit_attempts);
   });
 }
 
-// The name follows from the change, so writing it twice is harmless.
+// Writing a record twice is harmless, because its name is derived from the change.
 void configuration::write_audit(const boost::json::value& document, unsigned tries_left)
 {
   context_.call_store(store_create{std::string(objects::audit_records_plural), document},
@@ -205,10 +209,11 @@
                         if (!failed || tries_left == 0) {
                           return;
                         }
-                        context_.timers().at(context_.jittered(audit_retry) + audit_retry,
-                                             [this, document, tries_left] {
-                                               write_audit(document, tries_left - 1);
-                                             });
+                        context_.timers().schedule(context_.jittered_time(audit_retry) +
+                                                       audit_retry,
+                                                   [this, document, tries_left] {
+                                                     write_audit(document, tries_left - 1);
+                                                   });
                       });
 }
 
--- a/src/core/configuration.h
+++ b/src/core/configuration.h
@@ -1,5 +1,8 @@
-// The configuration duty of one daemon: applies what the store and peers show, tells the fleet,
-// and writes the audit trail.
+// The configuration at one daemon: applies changes from the store and from peers, passes the
+// configuration in force to the fleet, and writes audit records.
+//
+// A daemon that has just started serves only once it knows the floor: a revision below which the
+// configuration must not be, since a peer has it in force. The store's list alone may be stale.
 
 #ifndef WISTERIAFLOW_SRC_CORE_CONFIGURATION_H_
 #define WISTERIAFLOW_SRC_CORE_CONFIGURATION_H_
@@ -18,10 +21,11 @@
 
 class configuration {
  public:
-  // `changed` is called whenever another configuration has come into force.
+  // `changed` is called after each update of the configuration.
   configuration(core_context& context, fleet& members, std::function<void()> changed);
 
-  // Begins to ask peers for the floor. Call once, after the fleet's start.
+  // Starts to determine the floor and to fetch newer revisions from peers. Call once, after
+  // fleet::start().
   void start();
 
   void on_listed(const declarations_listed& e);
@@ -29,7 +33,8 @@
   void on_peer_revision(const membership::gossiper::known_configuration& highest);
   [[nodiscard]] objects::configuration_snapshot on_query(const configuration_query& query) const;
 
-  // Keeps a record of what this daemon did of itself.
+  // Writes an audit record. Records of this daemon's own actions are written at once, records of
+  // configuration changes by the daemons that rank first for them.
   void audit(objects::audit_record record);
 
   [[nodiscard]] bool ready() const
@@ -43,23 +48,24 @@
   }
 
  private:
-  void after(const std::vector<objects::configuration_change>& changes);
+  void apply_changes(const std::vector<objects::configuration_change>& changes);
   void audit_change(const objects::configuration_change& change);
   void write_audit(const boost::json::value& document, unsigned tries_left);
   void catch_up();
   void fetch(std::uint64_t known);
-  [[nodiscard]] std::optional<http::socket_address> any_peer() const;
+  [[nodiscard]] std::optional<http::socket_address> random_peer() const;
   void check_floor();
 
   core_context& context_;
   fleet& fleet_;
   std::function<void()> changed_;
   objects::configuration_store store_;
-  mono_time silent_at_;
-  membership::gossiper::known_configuration heard_; // the highest that a peer has named
+  mono_time floor_wait_until_;
+  // The highest revision that a peer has reported, and the daemon that has it.
+  membership::gossiper::known_configuration highest_peer_revision_;
   bool fetching_ = false;
-  bool floor_named_ = false; // by a peer
-  bool ask_any_ = false;     // the one that named it could not give it
+  bool floor_from_peer_ = false; // a peer has reported a revision
+  bool query_any_peer_ = false;  // the peer that reported the revision could not provide it
 };
 
 } // namespace wisteriaflow::core::internal
--- a/src/core/core_context.h
+++ b/src/core/core_context.h
@@ -1,4 +1,5 @@
-// What the core's services share: the time, the options, timers, metrics, and the way out.
+// State that the services of a core share: options, current time, random numbers, timers, metrics,
+// pending calls, and the actions to return.
 
 #ifndef WISTERIAFLOW_SRC_CORE_CORE_CONTEXT_H_
 #define WISTERIAFLOW_SRC_CORE_CORE_CONTEXT_H_
@@ -20,13 +21,13 @@
 
 namespace wisteriaflow::core::internal {
 
-// Shared by all services of one core. Calls to the store and to peers are continued by callbacks,
-// each called exactly once.
+// Shared by all services of one core. The result of a call to the store, the cloud API or a peer is
+// passed to a callback, which is called exactly once.
 class core_context {
  public:
   using store_callback = std::function<void(const store_answer&)>;
   using cloud_callback = std::function<void(const http::response*)>;
-  // Null if the peer did not answer.
+  // Gets null if the peer did not answer.
   using peer_callback = std::function<void(const peer_response*)>;
 
   core_context(daemon_core_options options, clock_reading now)
@@ -52,17 +53,18 @@
         log_event{.level = level, .message = std::move(message), .fields = std::move(fields)}));
   }
 
-  // Runs `run` after `period`, and so on for ever.
-  void every(std::chrono::milliseconds period, const std::function<void()>& run)
+  // Calls `run` after each `period`, first one period from now, for the lifetime of the core.
+  void run_every(std::chrono::milliseconds period, const std::function<void()>& run)
   {
-    timers_.at(now_.mono + period, [this, period, run] {
+    timers_.schedule(now_.mono + period, [this, period, run] {
       run();
-      every(period, run);
+      run_every(period, run);
     });
   }
 
-  // A point in time within `period` from now, uniformly drawn, so that daemons do not act at once.
-  [[nodiscard]] mono_time jittered(std::chrono::milliseconds period)
+  // Returns a uniformly random time within `period` from now, so that the daemons of a fleet do not
+  // act at the same time.
+  [[nodiscard]] mono_time jittered_time(std::chrono::milliseconds period)
   {
     std::uniform_int_distribution<std::int64_t> draw(0, period.count());
     return now_.mono + std::chrono::milliseconds(draw(random_));
@@ -86,7 +88,7 @@
     }
   }
 
-  // `done` gets null if there was no answer.
+  // Calls the cloud API. `done` gets null if there was no response.
   void call_cloud(http::request message, cloud_callback done)
   {
     const auto call = ++last_call_;
@@ -100,18 +102,19 @@
   {
     auto node = cloud_calls_.extract(answer.call);
     if (!node.empty()) {
-      node.mapped()(answer.reached ? &answer.whole : nullptr);
+      node.mapped()(answer.reached ? &answer.response : nullptr);
     }
   }
 
   void call_peer(const http::socket_address& to, peer_request message, peer_callback done)
   {
-    // The shell answers by the deadline; the timer covers an answer lost on a full ring.
+    // The I/O component reports a result by the deadline. The timer covers a result that was lost
+    // because the ring buffer was full.
     constexpr std::chrono::milliseconds grace{500};
     const auto call = ++last_call_;
     const auto deadline = now_.mono + options_.peer_call_timeout;
     peer_calls_.emplace(call, std::move(done));
-    timers_.at(deadline + grace, [this, call] { on_peer_answer(call, nullptr); });
+    timers_.schedule(deadline + grace, [this, call] { on_peer_answer(call, nullptr); });
     emit(peer_action(
         send_to_peer{.call = call, .to = to, .message = std::move(message), .deadline = deadline}));
   }
--- a/src/core/daemon_core.cc
+++ b/src/core/daemon_core.cc
@@ -18,36 +18,37 @@
 namespace wisteriaflow::core {
 namespace {
 
-using namespace internal; // the services stand only here
+using namespace internal; // Only this file combines the services.
 
-constexpr std::chrono::milliseconds shares_interval{500};
-constexpr std::chrono::milliseconds exit_check{50};
-// A leaving daemon hands over what runs this long before its instance is taken.
+constexpr std::chrono::milliseconds share_refresh_interval{500};
+constexpr std::chrono::milliseconds exit_check_interval{50};
+// Before its instance is reclaimed, a draining daemon hands over running requests this much
+// earlier.
 constexpr std::chrono::milliseconds handover_margin{3'000};
-// It stays to answer peers and late callers this long, so that nobody meets a closed port before
-// the addresses that it gave out have been replaced.
-constexpr std::chrono::milliseconds linger{1'000};
-// After the last moment for requests, claim shards get this long to be released: two store calls
-// with their timeout.
-constexpr std::chrono::milliseconds release_time{2'000};
+// A draining daemon keeps answering peers and late callers for at least this long, so that they do
+// not find a closed port before the addresses that it handed out have been replaced.
+constexpr std::chrono::milliseconds exit_delay{1'000};
+// Time for the release of claim shards after running requests were handed over: two store calls
+// with their timeouts.
+constexpr std::chrono::milliseconds claim_release_time{2'000};
 
 } // namespace
 
 class daemon_core::implementation {
  public:
   implementation(daemon_core_options options, clock_reading now)
-      : context_(std::move(options), now), members_(context_, make_listener()),
-        config_(context_, members_, [this] { requests_.on_configuration_changed(); }),
-        claims_(context_, members_), endpoints_(context_), placer_(context_, members_),
-        places_(context_, members_), requests_(context_, services()),
-        capacity_(context_, members_, config_, endpoints_),
+      : context_(std::move(options), now), fleet_(context_, make_listener()),
+        config_(context_, fleet_, [this] { requests_.on_configuration_changed(); }),
+        claims_(context_, fleet_), endpoints_(context_), placer_(context_, fleet_),
+        directory_(context_, fleet_), requests_(context_, services()),
+        capacity_(context_, fleet_, config_, endpoints_),
         operators_(context_, services(), requests_, capacity_)
   {
-    members_.start();
+    fleet_.start();
     config_.start();
     claims_.start();
     capacity_.start();
-    context_.every(shares_interval, [this] { requests_.refresh_shares(); });
+    context_.run_every(share_refresh_interval, [this] { requests_.refresh_shares(); });
   }
 
   std::vector<action> handle(event e, clock_reading now)
@@ -58,39 +59,41 @@
     return context_.take_actions();
   }
 
-  [[nodiscard]] std::optional<mono_time> wake_at() { return context_.timers().next(); }
+  [[nodiscard]] std::optional<mono_time> wake_at() { return context_.timers().next_deadline(); }
 
  private:
   request_services services()
   {
-    return {.members = members_,
+    return {.members = fleet_,
             .config = config_,
             .claims = claims_,
             .endpoints = endpoints_,
             .placer = placer_,
-            .places = places_};
+            .directory = directory_};
   }
 
-  // The services are made one after another: the calls come only after all are there.
+  // The callbacks refer to services that are constructed later. They are called only after all
+  // services exist.
   fleet_listener make_listener()
   {
-    return {.endpoint_leaving =
-                [this](const endpoint_id& id, std::optional<wall_time> reclaim_at) {
-                  requests_.on_endpoint_leaving(id, reclaim_at);
-                },
-            .daemons_changed =
-                [this] {
-                  claims_.update_ownership();
-                  places_.on_daemons_changed();
-                },
-            .self_leaving = [this](std::optional<wall_time> reclaim_at) { leave(reclaim_at); },
-            .configuration_heard =
-                [this](const membership::gossiper::known_configuration& highest) {
-                  config_.on_peer_revision(highest);
-                }};
+    return {
+        .endpoint_leaving =
+            [this](const endpoint_id& id, std::optional<wall_time> reclaim_at) {
+              requests_.on_endpoint_leaving(id, reclaim_at);
+            },
+        .daemons_changed =
+            [this] {
+              claims_.update_ownership();
+              directory_.on_daemons_changed();
+            },
+        .self_reclaimed = [this](std::optional<wall_time> reclaim_at) { begin_drain(reclaim_at); },
+        .peer_configuration_received =
+            [this](const membership::gossiper::known_configuration& highest) {
+              config_.on_peer_revision(highest);
+            }};
   }
 
-  void leave(std::optional<wall_time> reclaim_at)
+  void begin_drain(std::optional<wall_time> reclaim_at)
   {
     if (draining_) {
       return;
@@ -104,28 +107,28 @@
     }
     context_.log(severity::info, "draining",
                  {{"in_flight", std::to_string(requests_.in_flight())}});
-    members_.leave(reclaim_at);
-    claims_.leave();
-    capacity_.leave();
+    fleet_.deregister(reclaim_at);
+    claims_.release_shards();
+    capacity_.stop();
     requests_.drain(hand_over_at);
-    exit_after_ = now.mono + linger;
-    release_by_ = hand_over_at + release_time;
+    exit_after_ = now.mono + exit_delay;
+    release_by_ = hand_over_at + claim_release_time;
     check_exit();
   }
 
   void check_exit()
   {
     const auto now = context_.now().mono;
-    // Shards that cannot be released, as with the store away, pass on like a crashed daemon's: to
-    // wait for them would keep the process for as long as the store is away.
-    const bool released = claims_.released() || now >= release_by_;
+    // Shards that cannot be released, for example during a store outage, are taken over like those
+    // of a crashed daemon. Waiting for them would keep the process running for the whole outage.
+    const bool released = claims_.all_released() || now >= release_by_;
     if (requests_.drained() && released && now >= exit_after_) {
       context_.emit(caller_action(stop_accepting{}));
       context_.log(severity::info, "drained");
       context_.emit(process_action(stop_process{}));
       return;
     }
-    context_.timers().at(now + exit_check, [this] { check_exit(); });
+    context_.timers().schedule(now + exit_check_interval, [this] { check_exit(); });
   }
 
   void on(call_received& e)
@@ -179,7 +182,7 @@
 
   void send(call_number call, http::response whole)
   {
-    context_.emit(caller_action(respond{.call = call, .whole = std::move(whole)}));
+    context_.emit(caller_action(respond{.call = call, .response = std::move(whole)}));
   }
 
   void on(const caller_closed& e) { requests_.on_caller_closed(e.call); }
@@ -187,8 +190,8 @@
   void on(const exchange_bytes& e) { endpoints_.on(e); }
   void on(const exchange_ended& e) { endpoints_.on(e); }
   void on(const exchange_failed& e) { endpoints_.on(e); }
-  void on(const load_reported& e) { members_.on_load(e); }
-  void on(const cache_events_reported& e) { members_.on_cache_events(e); }
+  void on(const load_reported& e) { fleet_.on_load(e); }
+  void on(const cache_events_reported& e) { fleet_.on_cache_events(e); }
   void on(const store_answer& e) { context_.on_store_answer(e); }
 
   void on(const declarations_listed& e) { config_.on_listed(e); }
@@ -196,13 +199,13 @@
 
   void on(const instances_listed& e)
   {
-    members_.on_instances(e.document);
+    fleet_.on_instances(e.document);
     capacity_.on_instances(e.document);
   }
   void on(const cloud_answer& e) { context_.on_cloud_answer(e); }
-  void on(const notices_received& e) { members_.on_notices(e.document); }
+  void on(const notices_received& e) { fleet_.on_notices(e.document); }
 
-  void on(const peer_asked& e)
+  void on(const peer_request_received& e)
   {
     context_.counters().count("peer_bytes_received_total", {}, static_cast<double>(e.bytes));
     std::visit([&](const auto& message) { on_peer(e.reply, message); }, e.message);
@@ -215,11 +218,11 @@
 
   void on_peer(peer_reply_number to, const membership::gossip_message& message)
   {
-    reply(to, members_.on_gossip(message));
+    reply(to, fleet_.on_gossip(message));
   }
   void on_peer(peer_reply_number to, const claims::claim_request& message)
   {
-    claims_.on_claim_asked(to, message);
+    claims_.on_peer_claim(to, message);
   }
   void on_peer(peer_reply_number to, const request_query& message)
   {
@@ -235,26 +238,26 @@
   }
   void on_peer(peer_reply_number to, const place_note& message)
   {
-    places_.on_note(message);
+    directory_.on_note(message);
     reply(to, place_note_reply{});
   }
 
-  void on(const peer_answered& e)
+  void on(const peer_response_received& e)
   {
     context_.counters().count("peer_bytes_received_total", {}, static_cast<double>(e.bytes));
     context_.on_peer_answer(e.call, &e.message);
   }
-  void on(const peer_failed& e) { context_.on_peer_answer(e.call, nullptr); }
-  void on(const drain_requested& /*e*/) { leave(std::nullopt); }
+  void on(const peer_call_failed& e) { context_.on_peer_answer(e.call, nullptr); }
+  void on(const drain_requested& /*e*/) { begin_drain(std::nullopt); }
   void on(const ticked& /*e*/) {}
 
   core_context context_;
-  fleet members_;
+  fleet fleet_;
   configuration config_;
   claim_service claims_;
   endpoint_calls endpoints_;
   placement placer_;
-  answer_places places_;
+  answer_directory directory_;
   request_table requests_;
   capacity_service capacity_;
   operator_service operators_;
--- a/src/core/endpoint_calls.cc
+++ b/src/core/endpoint_calls.cc
@@ -40,7 +40,7 @@
 {
   const auto it = open_.find(e.exchange);
   if (it != open_.end()) {
-    const auto run = it->second.on_head; // a copy: the call may close the exchange
+    const auto run = it->second.on_head; // copied, because the callback may cancel the exchange
     run(e.head);
   }
 }
--- a/src/core/endpoint_calls.h
+++ b/src/core/endpoint_calls.h
@@ -1,4 +1,4 @@
-// Exchanges with endpoints, each with its own observer.
+// Requests to endpoints. Passes the events of each exchange to its observer.
 
 #ifndef WISTERIAFLOW_SRC_CORE_ENDPOINT_CALLS_H_
 #define WISTERIAFLOW_SRC_CORE_ENDPOINT_CALLS_H_
@@ -13,7 +13,7 @@
 
 namespace wisteriaflow::core::internal {
 
-// Told about one exchange; after on_ended or on_failed nothing more comes.
+// Callbacks of one exchange. on_ended or on_failed is the last one to be called.
 struct exchange_observer {
   std::function<void(const http::response& head)> on_head;
   std::function<void(const std::string& bytes)> on_bytes;
@@ -25,15 +25,16 @@
  public:
   explicit endpoint_calls(core_context& context) : context_(context) {}
 
-  // Starts an exchange whose answer is passed on as it arrives.
+  // Sends a request and passes the response to `observer`. With `streamed`, body bytes are passed
+  // on as they arrive.
   exchange_number open(const http::socket_address& to, http::request message, mono_time deadline,
                        bool streamed, exchange_observer observer);
 
-  // Sends a request and gives the whole answer, or nothing if there is none.
+  // Sends a request and passes the complete response to `done`, or nothing if the exchange failed.
   void call(const http::socket_address& to, http::request message, mono_time deadline,
             std::function<void(const std::optional<http::response>&)> done);
 
-  // Closes the exchange; its observer is told nothing more.
+  // Cancels an exchange. Its observer is not called any more.
   void cancel(exchange_number exchange);
 
   void on(const exchange_head& e);
--- a/src/core/fleet.cc
+++ b/src/core/fleet.cc
@@ -15,10 +15,10 @@
 using membership::member_state;
 
 constexpr std::string_view registrations = "daemons";
-constexpr std::chrono::milliseconds view_tick{500};
+constexpr std::chrono::milliseconds view_tick_period{500};
 constexpr std::chrono::milliseconds registration_retry{2'000};
 constexpr std::chrono::milliseconds daemons_list_period{60'000};
-constexpr std::chrono::milliseconds lonely_list_period{2'000};
+constexpr std::chrono::milliseconds isolated_list_period{2'000};
 
 membership::view_options view_options_of(const daemon_core_options& o, clock_reading now)
 {
@@ -62,31 +62,32 @@
   register_self();
   list_daemons();
   for (const auto& seed : context_.options().seeds) {
-    seed_gossip(seed);
+    send_initial_gossip(seed);
   }
-  context_.every(view_tick, [this] {
+  context_.run_every(view_tick_period, [this] {
     view_.tick(context_.now());
-    after_change();
+    apply_view_changes();
   });
-  context_.every(context_.options().load_period, [this] { poll_loads(); });
+  context_.run_every(context_.options().load_period, [this] { poll_loads(); });
   gossip_now();
 }
 
-void fleet::leave(std::optional<wall_time> reclaim_at)
+void fleet::deregister(std::optional<wall_time> reclaim_at)
 {
   if (leaving_) {
     return;
   }
   leaving_ = true;
   view_.mark_leaving(view_.self().key, reclaim_at, context_.now());
-  after_change();
+  apply_view_changes();
   gossip_now();
   context_.call_store(
       store_remove{.plural = std::string(registrations), .name = context_.options().self.value()},
       [](const store_answer&) {});
 }
 
-// The registration lets daemons that know nobody, or that were parted, find each other.
+// Daemons that know no peer yet, or that were separated by a network partition, find each other
+// through their registrations in the store.
 void fleet::register_self()
 {
   if (leaving_) {
@@ -108,30 +109,34 @@
     }
     context_.call_store(std::move(operation), [this](const store_answer& answer) {
       if (answer.status != store_status::ok) {
-        context_.timers().at(context_.jittered(registration_retry), [this] { register_self(); });
+        context_.timers().schedule(context_.jittered_time(registration_retry),
+                                   [this] { register_self(); });
       }
     });
   };
-  context_.call_store(
-      store_get{std::string(registrations), name}, [this, write](const store_answer& answer) {
-        if (answer.status == store_status::ok) {
-          write(answer.objects.front().version);
-        } else if (answer.status == store_status::not_found) {
-          write(0);
-        } else {
-          context_.timers().at(context_.jittered(registration_retry), [this] { register_self(); });
-        }
-      });
+  context_.call_store(store_get{std::string(registrations), name},
+                      [this, write](const store_answer& answer) {
+                        if (answer.status == store_status::ok) {
+                          write(answer.objects.front().version);
+                        } else if (answer.status == store_status::not_found) {
+                          write(0);
+                        } else {
+                          context_.timers().schedule(context_.jittered_time(registration_retry),
+                                                     [this] { register_self(); });
+                        }
+                      });
 }
 
-// Often while alone; seldom later, to heal islands that have forgotten each other.
+// Lists the registered daemons: frequently while no peer is known, rarely afterwards, to reconnect
+// groups of daemons that have removed each other from their views.
 void fleet::list_daemons()
 {
   context_.call_store(store_list{std::string(registrations)},
                       [this](const store_answer& answer) { on_daemons_listed(answer); });
   const bool lonely = view_.live_daemons().size() < 2;
-  const auto period = lonely ? lonely_list_period : daemons_list_period;
-  context_.timers().at(context_.jittered(period) + period / 2, [this] { list_daemons(); });
+  const auto period = lonely ? isolated_list_period : daemons_list_period;
+  context_.timers().schedule(context_.jittered_time(period) + period / 2,
+                             [this] { list_daemons(); });
 }
 
 void fleet::on_daemons_listed(const store_answer& answer)
@@ -148,7 +153,7 @@
     const bool is_new = known == nullptr || known->incarnation < registered->incarnation;
     if (is_new || known->state == member_state::gone) {
       if (const auto to = parse_address(registered->attributes.peer_address)) {
-        seed_gossip(*to);
+        send_initial_gossip(*to);
       }
     }
     if (!is_new && known->state == member_state::gone) {
@@ -157,8 +162,9 @@
   }
 }
 
-// One daemon, chosen by hash, deletes what a dead one has left behind. If it was alive after all,
-// it finds its registration missing at its next start and peers still know it.
+// Deletes the registration of a daemon that is gone, if this daemon ranks first for it by
+// rendezvous hashing. If the daemon was alive after all, peers still know it, and it registers
+// again at its next start.
 void fleet::remove_stale_registration(const member& registered)
 {
   const auto key = hash64_of(registered.key.id);
@@ -177,8 +183,8 @@
   }
 }
 
-// Says hello to an address whose daemon may be unknown yet; its reply brings its view.
-void fleet::seed_gossip(const http::socket_address& to)
+// Sends gossip to an address whose daemon may be unknown. The reply contains its view.
+void fleet::send_initial_gossip(const http::socket_address& to)
 {
   if (to == context_.options().peer_address) {
     return;
@@ -187,7 +193,8 @@
   hello.peer_address = to_string(to);
   hello.message.from = context_.options().self;
   hello.message.members.push_back(view_.self());
-  // By these the peer sees what is unknown here, so that its reply brings it.
+  // From the hashes the peer determines which members are unknown here and includes them in its
+  // reply.
   hello.message.view_version = view_.version();
   hello.message.view_hash = view_.hash();
   hello.message.view_buckets = {view_.buckets().begin(), view_.buckets().end()};
@@ -221,8 +228,8 @@
     return;
   }
   send(gossiper_.receive_reply(*reply, context_.now()));
-  note_configuration(*reply);
-  after_change();
+  forward_configuration_revision(*reply);
+  apply_view_changes();
 }
 
 membership::gossip_message fleet::on_gossip(const membership::gossip_message& message)
@@ -230,8 +237,8 @@
   context_.counters().count("gossip_messages_total", {{"direction", "received"}});
   auto response = gossiper_.receive(message, context_.now());
   send(std::move(response.pushes));
-  note_configuration(message);
-  after_change();
+  forward_configuration_revision(message);
+  apply_view_changes();
   return std::move(response.reply);
 }
 
@@ -239,17 +246,17 @@
 {
   context_.timers().cancel(gossip_timer_);
   send(gossiper_.tick(context_.now()));
-  gossip_timer_ = context_.timers().at(gossiper_.next_due(), [this] { gossip_now(); });
+  gossip_timer_ = context_.timers().schedule(gossiper_.next_due(), [this] { gossip_now(); });
 }
 
-// What each peer says counts, not only a revision higher than the own: a daemon may serve once a
-// peer has confirmed that the store's list was not an old one.
-void fleet::note_configuration(const membership::gossip_message& message)
+// Passes on each peer's revision, not only one above this daemon's own: a daemon may serve once a
+// peer has confirmed that the store's list was not stale.
+void fleet::forward_configuration_revision(const membership::gossip_message& message)
 {
   if (message.configuration_revision > 0) {
-    listener_.configuration_heard({.revision = message.configuration_revision,
-                                   .floor = message.configuration_floor,
-                                   .holder = message.from});
+    listener_.peer_configuration_received({.revision = message.configuration_revision,
+                                           .floor = message.configuration_floor,
+                                           .holder = message.from});
   }
 }
 
@@ -262,33 +269,34 @@
   }
   const auto* root = document.if_object();
   if (root == nullptr || !root->contains("instances")) {
-    return; // a failed reading says nothing of who is missing
+    return; // An unreadable document does not show which instances are missing.
   }
   view_.apply_list(list.endpoints, context_.now());
-  after_change();
+  apply_view_changes();
 }
 
 void fleet::on_notices(const boost::json::value& document)
 {
   for (const auto& notice : read_notices(document)) {
     if (notice.instance == context_.options().instance.value()) {
-      listener_.self_leaving(notice.reclaim_at);
+      listener_.self_reclaimed(notice.reclaim_at);
       continue;
     }
     view_.mark_leaving({.kind = member_kind::endpoint, .id = notice.instance}, notice.reclaim_at,
                        context_.now());
   }
-  after_change();
+  apply_view_changes();
   gossip_now();
 }
 
-// Spreads and acts on what the view has learned.
-void fleet::after_change()
+// Notifies the listener of changes of the view, and updates the reached endpoints at once or, if
+// they were updated recently, a little later.
+void fleet::apply_view_changes()
 {
-  if (view_.version() == seen_version_) {
+  if (view_.version() == applied_view_version_) {
     return;
   }
-  seen_version_ = view_.version();
+  applied_view_version_ = view_.version();
   announce_leaving_endpoints();
   listener_.daemons_changed();
   if (context_.now().mono >= update_due_) {
@@ -297,7 +305,7 @@
   }
   if (!update_scheduled_) {
     update_scheduled_ = true;
-    context_.timers().at(update_due_, [this] {
+    context_.timers().schedule(update_due_, [this] {
       update_scheduled_ = false;
       update_endpoints();
     });
@@ -330,7 +338,7 @@
   return m == nullptr ? std::nullopt : parse_address(m->attributes.peer_address);
 }
 
-bool fleet::answers_callers_at(const std::string& address) const
+bool fleet::has_live_daemon_at(const std::string& address) const
 {
   const auto& changes = view_.changes();
   return std::any_of(changes.begin(), changes.end(), [&](const auto& change) {
--- a/src/core/fleet_addresses.h
+++ b/src/core/fleet_addresses.h
@@ -1,4 +1,4 @@
-// Addresses as they stand in members' records.
+// Parsing of the addresses in member records.
 
 #ifndef WISTERIAFLOW_SRC_CORE_FLEET_ADDRESSES_H_
 #define WISTERIAFLOW_SRC_CORE_FLEET_ADDRESSES_H_
@@ -11,7 +11,8 @@
 
 namespace wisteriaflow::core::internal {
 
-// The address that `text` stands for; nothing if it is none, as in a record of a newer daemon.
+// Returns the address in `text`, or nothing if it is malformed, for example because the record was
+// written by a newer version.
 inline std::optional<http::socket_address> parse_address(const std::string& text)
 {
   try {
--- a/src/core/fleet_endpoints.cc
+++ b/src/core/fleet_endpoints.cc
@@ -1,5 +1,5 @@
-// The endpoints that a daemon reaches: its subset of them, their loads and caches, and their
-// leaving.
+// The part of `fleet` for endpoints: the subset that a daemon reaches, their load and cache
+// reports, and the announcement of leaving ones.
 
 #include <algorithm>
 #include <utility>
@@ -16,7 +16,7 @@
 using membership::member_kind;
 using membership::member_state;
 
-// The subset is worked out at most this often; leaving endpoints are not waited for.
+// Minimum time between two computations of the subset. Leaving endpoints are processed at once.
 constexpr std::chrono::milliseconds subset_interval{250};
 
 objects::label_set labels_of(const member& m)
@@ -52,8 +52,9 @@
                                                  : objects::pool_role::engine};
 }
 
-// The instance list may say that an endpoint leaves before the notice says when: the time is told
-// as soon as it is known, since it decides whether what runs there can stay.
+// The instance list may show that an endpoint is leaving before a notice gives the time. The time
+// is reported as soon as it is known, because it determines whether running requests can finish
+// there.
 void fleet::announce_leaving_endpoints()
 {
   for (const auto slot : endpoints_.slots()) {
@@ -63,7 +64,7 @@
       continue;
     }
     const auto reclaim_at = m == nullptr ? std::nullopt : m->reclaim_at;
-    const auto [it, is_new] = announced_.emplace(id, reclaim_at);
+    const auto [it, is_new] = announced_leaving_.emplace(id, reclaim_at);
     if (is_new || it->second != reclaim_at) {
       it->second = reclaim_at;
       endpoints_.on_leaving(slot);
@@ -80,8 +81,8 @@
   update_endpoints();
 }
 
-// The endpoints of each pool and service that this daemon reaches.
-std::set<endpoint_id> fleet::reached() const
+// Returns the endpoints of all pools and services that this daemon reaches.
+std::set<endpoint_id> fleet::endpoint_subset() const
 {
   const auto daemons = view_.live_daemons();
   const membership::subset_options subset{.target_size = context_.options().subset_size};
@@ -104,19 +105,19 @@
 void fleet::update_endpoints()
 {
   update_due_ = context_.now().mono + subset_interval;
-  const auto wanted = reached();
+  const auto wanted = endpoint_subset();
   for (const auto& id : wanted) {
     const auto* m = view_.find({.kind = member_kind::endpoint, .id = id.value()});
     const auto slot = endpoints_.upsert(describe_endpoint(*m));
-    described_.resize(std::max<std::size_t>(described_.size(), slot + 1));
-    described_[slot] = describe(*m);
+    descriptions_.resize(std::max<std::size_t>(descriptions_.size(), slot + 1));
+    descriptions_[slot] = describe(*m);
   }
   std::vector<endpoint_id> unwanted;
   for (const auto slot : endpoints_.slots()) {
     const auto& id = endpoints_.at(slot).description.id;
     const auto* m = view_.find({.kind = member_kind::endpoint, .id = id.value()});
     const bool gone = m == nullptr || m->state == member_state::gone;
-    // An endpoint that only left the subset, or is unreachable for now, keeps its running work.
+    // Requests continue on an endpoint that only left the subset or is temporarily unreachable.
     if (gone || (!wanted.contains(id) && m->state == member_state::live)) {
       unwanted.push_back(id);
     }
@@ -124,7 +125,7 @@
   for (const auto& id : unwanted) {
     prefixes_.remove_endpoint(*endpoints_.find(id));
     endpoints_.remove(id);
-    announced_.erase(id);
+    announced_leaving_.erase(id);
     cache_events_seen_.erase(id);
   }
   context_.counters().set("endpoints_reached", static_cast<double>(endpoints_.slots().size()));
@@ -137,14 +138,14 @@
   std::vector<routing::endpoint_slot> out;
   for (const auto slot : endpoints_.slots()) {
     const auto& id = endpoints_.at(slot).description.id;
-    if (view_.is_routable(id) && matches(described_[slot])) {
+    if (view_.is_routable(id) && matches(descriptions_[slot])) {
       out.push_back(slot);
     }
   }
   return out;
 }
 
-void fleet::connect_failed(const endpoint_id& endpoint)
+void fleet::on_connect_failed(const endpoint_id& endpoint)
 {
   view_.connect_failed({.kind = member_kind::endpoint, .id = endpoint.value()}, context_.now());
   if (const auto slot = endpoints_.find(endpoint)) {
@@ -152,7 +153,7 @@
   }
 }
 
-void fleet::connected(const endpoint_id& endpoint)
+void fleet::on_connected(const endpoint_id& endpoint)
 {
   view_.connect_succeeded({.kind = member_kind::endpoint, .id = endpoint.value()}, context_.now());
   if (const auto slot = endpoints_.find(endpoint)) {
@@ -187,10 +188,10 @@
     return;
   }
   if (!report.reached) {
-    connect_failed(id);
+    on_connect_failed(id);
     return;
   }
-  connected(id);
+  on_connected(id);
   if (const auto load = read_load(report.report, context_.now())) {
     endpoints_.on_report(*slot, *load);
   }
--- a/src/core/http_parts.h
+++ b/src/core/http_parts.h
@@ -1,4 +1,4 @@
-// Between the requests package's response parts and HTTP messages.
+// Conversions between the response parts of the requests package and HTTP messages.
 
 #ifndef WISTERIAFLOW_SRC_CORE_HTTP_PARTS_H_
 #define WISTERIAFLOW_SRC_CORE_HTTP_PARTS_H_
@@ -42,7 +42,7 @@
   return {.status = in.status, .fields = to_fields(in.fields), .body = in.body};
 }
 
-// A JSON answer of the daemon's own.
+// Makes a JSON response of the daemon itself.
 inline http::response json_response(int status, std::string body)
 {
   return {.status = status,
--- a/src/core/metrics.cc
+++ b/src/core/metrics.cc
@@ -12,9 +12,9 @@
 
 namespace histogram = boost::histogram;
 
-constexpr unsigned buckets = 24; // four to a decade
-constexpr double least_seconds = 1e-4;
-constexpr double most_seconds = 100;
+constexpr unsigned buckets = 24; // four per decade
+constexpr double min_seconds = 1e-4;
+constexpr double max_seconds = 100;
 constexpr std::string_view prefix = "wisteriaflow_";
 
 using log_axis = histogram::axis::regular<double, histogram::axis::transform::log>;
@@ -22,7 +22,7 @@
 
 struct duration_series {
   seconds_histogram histogram =
-      histogram::make_histogram(log_axis(buckets, least_seconds, most_seconds));
+      histogram::make_histogram(log_axis(buckets, min_seconds, max_seconds));
   double sum = 0;
 };
 
@@ -88,7 +88,7 @@
   std::size_t series_count = 0;
   double dropped = 0;
 
-  // The series for these labels, or null when there are too many.
+  // Returns the series for these labels, or null if it is new and the limit is reached.
   double* find_or_make(series_kind kind, std::string_view name, const metric_labels& labels)
   {
     auto& f = families[std::string(name)];
--- a/src/core/operator_service.cc
+++ b/src/core/operator_service.cc
@@ -141,7 +141,8 @@
   return json_response(status_ok, json::serialize(capacity_.report()));
 }
 
-// The choice, and why each candidate is there at all where this daemon holds the capacity lease.
+// Explains the choice of an endpoint. If this daemon holds the capacity lease, the explanation also
+// says why each candidate is running.
 json::value operator_service::explain_route(const objects::fleet_configuration& configuration,
                                             const route& r)
 {
@@ -199,7 +200,8 @@
   membership::address_query query;
   query.zone = availability_zone(query_value(target, "availability_zone"));
   query.workspace = workspace_id(query_value(target, "workspace"));
-  // Callers that tell themselves apart are spread; the others share an answer.
+  // The answers are spread over the callers by this value. Callers with the same value get the same
+  // addresses.
   query.caller = std::string(http::find_header(message.fields, "Wisteriaflow-Caller",
                                                http::find_header(message.fields, "User-Agent")));
   const auto live = services_.members.view().live_daemons();
--- a/src/core/operator_service.h
+++ b/src/core/operator_service.h
@@ -1,4 +1,4 @@
-// Answers operators' and health questions from what the daemon knows.
+// The HTTP resources for operators, health checks, metrics and the addresses of daemons.
 
 #ifndef WISTERIAFLOW_SRC_CORE_OPERATOR_SERVICE_H_
 #define WISTERIAFLOW_SRC_CORE_OPERATOR_SERVICE_H_
@@ -21,10 +21,10 @@
   operator_service(core_context& context, request_services services, request_table& requests,
                    capacity_service& capacity);
 
-  // GET /healthz: the core answers.
+  // GET /healthz: always 200, which shows that the core processes events.
   [[nodiscard]] http::response health() const;
 
-  // GET /readyz: 200 once the configuration is known and the daemon is not leaving.
+  // GET /readyz: 200 if the configuration is known and the daemon is not draining, else 503.
   [[nodiscard]] http::response readiness(bool draining) const;
 
   // GET /metrics
--- a/src/core/placement.cc
+++ b/src/core/placement.cc
@@ -14,7 +14,8 @@
 constexpr std::chrono::milliseconds no_candidate_retry{1'000};
 constexpr double latency_preference = 0.3;
 constexpr double cost_preference = 1.0;
-// Of a block of 16 words, by the same estimate as for a whole prompt: 4 bytes a token, 6 a word.
+// Estimated tokens of a prefix block of 16 words, with 4 bytes per token and 6 bytes per word. The
+// length of a whole prompt is estimated in the same way.
 constexpr int tokens_per_block = 24;
 
 double seconds_until(mono_time t, mono_time now)
@@ -118,7 +119,7 @@
     return placed{.endpoint = description.id,
                   .address = http::parse_socket_address(description.address),
                   .slot = chosen.slot,
-                  .believed_tokens = chosen.parts.cached_tokens,
+                  .expected_cached_tokens = chosen.parts.cached_tokens,
                   .first_token_at = chosen.first_token_at};
   } catch (const http::http_error&) {
     return not_placed{.retry_at = now + no_candidate_retry};
@@ -138,7 +139,7 @@
   const routing::routing_view view{
       .endpoints = fleet_.endpoints(), .prefixes = fleet_.prefixes(), .options = options};
   const auto now = context_.now().mono;
-  auto random = context_.random(); // a copy: explaining must not change what is chosen next
+  auto random = context_.random(); // copied, so that explaining does not affect later choices
   boost::json::array lines;
   for (const auto& line :
        routing::explain_choice(view, view_of(r), candidates(configuration, r), now, random)) {
--- a/src/core/placement.h
+++ b/src/core/placement.h
@@ -1,4 +1,5 @@
-// Which endpoint gets an attempt: the declared intents say who may, the routing policy who does.
+// The choice of the endpoint for an attempt: the declared routing intents determine the eligible
+// endpoints, and the routing policy chooses among them.
 
 #ifndef WISTERIAFLOW_SRC_CORE_PLACEMENT_H_
 #define WISTERIAFLOW_SRC_CORE_PLACEMENT_H_
@@ -19,16 +20,17 @@
 
 namespace wisteriaflow::core::internal {
 
-// Where a request may go, fixed when it is admitted.
+// The endpoints that a request may be sent to and the properties that the choice depends on. Fixed
+// when the request is admitted.
 struct route {
   std::string intent;  // empty for a plain service
-  std::string service; // empty for a generation
+  std::string service; // empty for a generation (a request to a model engine)
   model_id model;
   std::int64_t priority = 0;
   bool batch = false;
   bool prefers_cost = false;
   objects::request_description description;
-  std::vector<std::uint64_t> blocks; // of the prompt
+  std::vector<std::uint64_t> blocks; // prefix block hashes of the prompt
   int prompt_tokens = 0;
   int output_tokens = 0;
   std::chrono::milliseconds first_token_target{};
@@ -40,11 +42,11 @@
   endpoint_id endpoint;
   http::socket_address address;
   routing::endpoint_slot slot = 0;
-  int believed_tokens = 0; // prompt tokens believed to be cached there
+  int expected_cached_tokens = 0; // prompt tokens that are probably in its KV cache
   mono_time first_token_at;
 };
 
-// No endpoint now.
+// No endpoint can take the attempt now.
 struct not_placed {
   routing::no_endpoint_reason reason = routing::no_endpoint_reason::no_candidate;
   mono_time retry_at;
@@ -56,19 +58,20 @@
  public:
   placement(core_context& context, fleet& members);
 
-  // The route of a request under the configuration in force; nothing if no intent selects it.
+  // Returns the route of a request under the configuration in force, or nothing if no routing
+  // intent selects it.
   [[nodiscard]] std::optional<route> route_for(const objects::fleet_configuration& configuration,
                                                const objects::request_description& request) const;
 
-  // Chooses an endpoint outside of `excluded`.
+  // Chooses an endpoint that is not in `excluded`.
   [[nodiscard]] placement_result place(const objects::fleet_configuration& configuration,
                                        const route& r, const std::set<endpoint_id>& excluded);
 
-  // Share of the batch places in use at the endpoints that the request may go to.
+  // Returns the fraction of batch slots in use at the endpoints that the request may be sent to.
   [[nodiscard]] double utilisation(const objects::fleet_configuration& configuration,
                                    const route& r) const;
 
-  // The same decision, told candidate by candidate, for operators.
+  // Returns the decision of place() for operators, with the evaluation of each candidate.
   [[nodiscard]] boost::json::value explain(const objects::fleet_configuration& configuration,
                                            const route& r);
 
--- a/src/core/platform_documents.cc
+++ b/src/core/platform_documents.cc
@@ -12,7 +12,7 @@
 
 namespace json = boost::json;
 
-constexpr int hash_base = 16; // of the names of prefix hashes
+constexpr int hash_base = 16; // Prefix hashes are hexadecimal strings.
 
 std::string text_at(const json::object& o, std::string_view key)
 {
@@ -99,7 +99,7 @@
                        .reclaim_at = from_unix_ms(number_at(o, "reclaim_at_unix_ms"))});
       }
     } catch (const std::exception&) {
-      continue; // left out, as it says nothing that could be acted on
+      continue; // An unreadable notice is skipped, because nothing can be done about it.
     }
   }
   return out;
@@ -141,7 +141,7 @@
                      .kind = evicted ? routing::cache_event::kind::evicted
                                      : routing::cache_event::kind::stored});
     } catch (const std::exception&) {
-      continue; // a belief does without it
+      continue; // The prefix index tolerates missing events.
     }
   }
   return out;
--- a/src/core/platform_documents.h
+++ b/src/core/platform_documents.h
@@ -1,5 +1,6 @@
-// Reads the documents of the platform's instance list and cloud API into typed values. An entry
-// that cannot be read is left out and counted; it never spoils the rest.
+// Parsers for the documents of the platform: the instance list, reclaim notices, load reports,
+// cache events and daemon registrations. An unreadable entry of a list is skipped (and counted for
+// the instance list), and the other entries are still used.
 
 #ifndef WISTERIAFLOW_SRC_CORE_PLATFORM_DOCUMENTS_H_
 #define WISTERIAFLOW_SRC_CORE_PLATFORM_DOCUMENTS_H_
@@ -20,7 +21,7 @@
 
 namespace wisteriaflow::core::internal {
 
-// The instance list.
+// The endpoints of the instance list, and the number of unreadable entries.
 struct instance_list {
   std::vector<membership::member> endpoints;
   std::size_t unreadable = 0;
@@ -28,7 +29,7 @@
 
 [[nodiscard]] instance_list read_instance_list(const boost::json::value& document);
 
-// One announced reclaim.
+// Announces that the cloud reclaims an instance at a given time.
 struct reclaim_notice {
   std::string instance;
   wall_time reclaim_at;
@@ -36,20 +37,20 @@
 
 [[nodiscard]] std::vector<reclaim_notice> read_notices(const boost::json::value& document);
 
-// An engine's load report; nothing if it cannot be read. `measured_at` is put on the monotonic
-// clock by its age at `now`.
+// Parses an engine's load report. Returns nothing if it is malformed. The wall time of the report
+// is converted to the monotonic clock by its age at `now`.
 [[nodiscard]] std::optional<routing::load_report> read_load(const boost::json::value& document,
                                                             clock_reading now);
 
-// An engine's cache events; those that cannot be read are left out.
+// Parses an engine's cache events. Unreadable ones are skipped.
 [[nodiscard]] std::vector<routing::cache_event>
 read_cache_events(const boost::json::value& document);
 
-// A daemon's own registration in the object API.
+// Parses a daemon's registration in the object API. Returns nothing if it is malformed.
 [[nodiscard]] std::optional<membership::member>
 read_registration(const boost::json::value& document);
 
-// The registration of `self` as an object's spec.
+// Makes the spec of the registration of `self`.
 [[nodiscard]] boost::json::value make_registration(const membership::member& self);
 
 } // namespace wisteriaflow::core::internal
--- a/src/core/request_table.cc
+++ b/src/core/request_table.cc
@@ -16,10 +16,10 @@
 
 constexpr int status_ok = 200;
 constexpr int status_not_found = 404;
-constexpr int bytes_per_token = 4; // of English text, for estimates
+constexpr int bytes_per_token = 4; // estimate for English text
 constexpr std::chrono::milliseconds draining_retry{1'000};
 constexpr std::chrono::milliseconds readiness_check{100};
-constexpr double unlimited = 1e12; // a share that never binds
+constexpr double unlimited = 1e12; // a share that is never reached
 
 admission::admission_options admission_options_of(const daemon_core_options& o)
 {
@@ -59,7 +59,8 @@
   }
 }
 
-// Answers without a key are kept under the request's id, for callers that must come back.
+// The answer of a request without an idempotency key is kept under the request's id, so that a
+// caller whose call was cut off can fetch it.
 requests::answer_key answer_key_of(const requests::call_headers& headers, const std::string& id)
 {
   return {.workspace = headers.workspace, .key = headers.key.empty() ? id : headers.key};
@@ -118,11 +119,12 @@
   return it == active_.end() ? nullptr : it->second.get();
 }
 
-// Refuses, or puts off by `again`, what cannot be looked at now: the daemon leaves, or does not
-// know its configuration yet. A key may have been run elsewhere, which a daemon that has just
-// started cannot know: such a call waits until it does, for a bounded time.
-void request_table::refuse_early(call_number call, const http::request& message, mono_time ready_by,
-                                 std::function<void()> again)
+// Refuses a call that cannot be processed now, because the daemon is draining or does not know its
+// configuration yet, or retries it later by `again`. A daemon that has just started cannot know
+// whether another daemon has run a key: a call with a key therefore waits until the daemon is
+// ready, but not longer than `ready_by`.
+void request_table::refuse_or_defer(call_number call, const http::request& message,
+                                    mono_time ready_by, std::function<void()> again)
 {
   const bool ready = services_.config.ready();
   const auto retry_at = context_.now().wall + draining_retry;
@@ -131,13 +133,13 @@
           workspace_id(std::string(http::find_header(message.fields, "Wisteriaflow-Workspace"))),
       .key = std::string(http::find_header(message.fields, "Idempotency-Key"))};
   if (ready) {
-    refuse_unless_placed(call, key,
-                         {requests::refusal_reason::draining, retry_at,
-                          "this daemon is leaving: ask another address"});
+    refuse_or_redirect(call, key,
+                       {requests::refusal_reason::draining, retry_at,
+                        "this daemon is leaving: ask another address"});
   } else if (!key.key.empty() && context_.now().mono < ready_by) {
-    ++looking_;
-    context_.timers().at(context_.now().mono + readiness_check, [this, again] {
-      --looking_;
+    ++pending_lookups_;
+    context_.timers().schedule(context_.now().mono + readiness_check, [this, again] {
+      --pending_lookups_;
       again();
     });
   } else if (!key.key.empty()) {
@@ -149,21 +151,22 @@
   }
 }
 
-// A key that was run elsewhere must not be called "not run" here: its caller is sent there.
-void request_table::refuse_unless_placed(call_number call, const requests::answer_key& key,
-                                         const requests::refused_not_run& refusal)
+// A request whose key was run by another daemon must not be reported as not run. Its caller is
+// redirected to that daemon.
+void request_table::refuse_or_redirect(call_number call, const requests::answer_key& key,
+                                       const requests::refused_not_run& refusal)
 {
   if (key.key.empty()) {
     send_outcome(call, refusal);
     return;
   }
-  ++looking_;
-  services_.places.find(key, [this, call, key, refusal](const std::string& address) {
-    --looking_;
+  ++pending_lookups_;
+  services_.directory.find(key, [this, call, key, refusal](const std::string& address) {
+    --pending_lookups_;
     if (address.empty()) {
       send_outcome(call, refusal);
     } else {
-      send_place(call, key, address);
+      send_answer_location(call, key, address);
     }
   });
 }
@@ -176,8 +179,8 @@
 void request_table::open_completion(call_number call, http::request message, mono_time ready_by)
 {
   if (!can_open()) {
-    refuse_early(call, message, ready_by,
-                 [this, call, message, ready_by] { open_completion(call, message, ready_by); });
+    refuse_or_defer(call, message, ready_by,
+                    [this, call, message, ready_by] { open_completion(call, message, ready_by); });
     return;
   }
   try {
@@ -215,7 +218,7 @@
                                       mono_time ready_by)
 {
   if (!can_open()) {
-    refuse_early(call, message, ready_by, [this, call, message, where, ready_by] {
+    refuse_or_defer(call, message, ready_by, [this, call, message, where, ready_by] {
       open_service_call(call, message, where, ready_by);
     });
     return;
@@ -248,15 +251,15 @@
     fresh->headers = std::move(headers);
     fresh->message = std::move(message);
     fresh->service_target = target;
-    fresh->where.service = service;
+    fresh->request_route.service = service;
     open(call, std::move(fresh), false);
   } catch (const requests::invalid_request& e) {
     send_outcome(call, e.result());
   }
 }
 
-// Of a generation, whose headers and body are known. The sizes decide whether it can finish where
-// it is before an endpoint leaves.
+// Sets the route of a generation from its headers and body. From the sizes it is later estimated
+// whether the request can finish on a leaving endpoint.
 bool request_table::set_route(active_request& r) const
 {
   const objects::request_description description{.workspace = r.headers.workspace,
@@ -266,14 +269,15 @@
   if (!found) {
     return false;
   }
-  r.where = *found;
-  r.where.blocks = routing::prefix_block_hashes(r.where.model, r.completion->prompt);
-  r.where.prompt_tokens = static_cast<int>(r.completion->prompt.size()) / bytes_per_token;
-  r.where.output_tokens = static_cast<int>(r.completion->max_tokens);
+  r.request_route = *found;
+  r.request_route.blocks =
+      routing::prefix_block_hashes(r.request_route.model, r.completion->prompt);
+  r.request_route.prompt_tokens = static_cast<int>(r.completion->prompt.size()) / bytes_per_token;
+  r.request_route.output_tokens = static_cast<int>(r.completion->max_tokens);
   return true;
 }
 
-// Fixes the route, looks the key up, and lets the request in.
+// Determines the route, looks up the key, and admits the request if it is new.
 void request_table::open(call_number call, request_ptr fresh, bool streamed)
 {
   auto& r = *fresh;
@@ -283,20 +287,20 @@
     throw requests::invalid_request(status_not_found, "Wisteriaflow-Workspace",
                                     "no workspace named " + r.headers.workspace.value());
   }
-  if (r.generation()) {
+  if (r.is_generation()) {
     if (!set_route(r)) {
       throw requests::invalid_request(status_not_found, "model",
                                       "no routing intent selects this request for model " +
                                           r.completion->model.value());
     }
   }
-  r.where.deadline = r.headers.deadline;
+  r.request_route.deadline = r.headers.deadline;
   const attached_call attached{.call = call, .streamed = streamed};
   const auto opened = answers_.open(r.key, r.body_hash, r.id);
   if (const auto* found = std::get_if<requests::answer_found>(&opened)) {
-    send_kept(call, found->answer, streamed, 0);
+    send_kept_answer(call, found->answer, streamed, 0);
   } else if (const auto* run = std::get_if<requests::run_joined>(&opened)) {
-    join(run->request_id, attached);
+    attach_call(run->request_id, attached);
   } else if (std::holds_alternative<requests::body_mismatch>(opened)) {
     throw requests::invalid_request(409, "Idempotency-Key", "was used before with another body");
   } else if (std::holds_alternative<requests::store_full>(opened)) {
@@ -316,24 +320,24 @@
 {
   admission::admission_request out;
   out.workspace = r.headers.workspace;
-  out.tokens = r.where.prompt_tokens + r.where.output_tokens;
-  out.priority =
-      r.where.batch ? admission::request_priority::batch : admission::request_priority::interactive;
+  out.tokens = r.request_route.prompt_tokens + r.request_route.output_tokens;
+  out.priority = r.request_route.batch ? admission::request_priority::batch
+                                       : admission::request_priority::interactive;
   out.deadline = r.headers.deadline;
-  out.utilisation = services_.placer.utilisation(*services_.config.current(), r.where);
+  out.utilisation = services_.placer.utilisation(*services_.config.current(), r.request_route);
   return out;
 }
 
 void request_table::admit(active_request& r)
 {
   const auto id = r.id;
-  r.deadline_timer = context_.timers().at(r.headers.deadline, [this, id] {
+  r.deadline_timer = context_.timers().schedule(r.headers.deadline, [this, id] {
     if (auto* late = find(id)) {
       feed(*late, requests::deadline_passed{});
     }
   });
   auto wanted = admission_request_of(r);
-  const auto tried = services_.placer.place(*services_.config.current(), r.where, {});
+  const auto tried = services_.placer.place(*services_.config.current(), r.request_route, {});
   const auto* none = std::get_if<not_placed>(&tried);
   if (none == nullptr) {
     wanted.first_token_at = std::get<placed>(tried).first_token_at;
@@ -344,37 +348,39 @@
   if (const auto* refused = std::get_if<admission::refused>(&decided)) {
     const auto wait = std::chrono::duration_cast<std::chrono::milliseconds>(refused->retry_at -
                                                                             context_.now().mono);
-    refuse(r, {.reason = reason_of(refused->reason),
-               .retry_at = context_.now().wall + wait,
-               .message = std::string(to_string(refused->reason))});
+    refuse_admission(r, {.reason = reason_of(refused->reason),
+                         .retry_at = context_.now().wall + wait,
+                         .message = std::string(to_string(refused->reason))});
     return;
   }
   r.admitted = std::get<admission::admitted>(decided);
-  // What must be claimed first may be running elsewhere, and its place must not be overwritten.
+  // A request that must be claimed first may be running at another daemon, whose directory entry
+  // must not be overwritten.
   if (r.options.keyed && r.options.idempotent) {
-    services_.places.announce(r.key, to_string(context_.options().caller_address));
+    services_.directory.publish(r.key, to_string(context_.options().caller_address));
   }
   feed(r, requests::admission_granted{});
 }
 
-// A key that must not run twice may have been run at another daemon: then its place is the answer.
-void request_table::refuse(active_request& r, const requests::admission_refused& refusal)
+// A request that must not run twice may have been run by another daemon under its key. Its caller
+// is then redirected to that daemon.
+void request_table::refuse_admission(active_request& r, const requests::admission_refused& refusal)
 {
   if (r.options.idempotent) {
     feed(r, refusal);
     return;
   }
-  ++looking_;
-  services_.places.find(r.key, [this, id = r.id, refusal](const std::string& address) {
-    --looking_;
+  ++pending_lookups_;
+  services_.directory.find(r.key, [this, id = r.id, refusal](const std::string& address) {
+    --pending_lookups_;
     if (auto* refused = find(id)) {
-      refused->answer_place = address;
+      refused->answer_address = address;
       feed(*refused, refusal);
     }
   });
 }
 
-void request_table::join(const std::string& id, attached_call call)
+void request_table::attach_call(const std::string& id, attached_call call)
 {
   auto* r = find(id);
   if (r == nullptr) {
@@ -392,14 +398,15 @@
   }
 }
 
-// Feeds one event, and those that its actions cause, in order.
+// Passes one event to the request's state machine, and then, in order, the events that its actions
+// cause.
 void request_table::feed(active_request& r, requests::request_event event)
 {
   events_.emplace_back(r.id, std::move(event));
-  if (feeding_) {
+  if (processing_events_) {
     return;
   }
-  feeding_ = true;
+  processing_events_ = true;
   while (!events_.empty()) {
     const auto [id, next] = std::move(events_.front());
     events_.pop_front();
@@ -407,21 +414,21 @@
     if (target == nullptr) {
       continue;
     }
-    for (const auto& a : target->life.handle(next, context_.now())) {
-      std::visit([&](const auto& one) { act(*target, one); }, a);
+    for (const auto& a : target->lifecycle.handle(next, context_.now())) {
+      std::visit([&](const auto& one) { perform(*target, one); }, a);
     }
     send_tokens(*target);
-    if (target->life.finished()) {
+    if (target->lifecycle.finished()) {
       close(*target);
     }
   }
-  feeding_ = false;
+  processing_events_ = false;
 }
 
-// Sends streamed calls the tokens that they do not have yet.
+// Sends each streamed call the tokens that it has not been sent yet.
 void request_table::send_tokens(active_request& r)
 {
-  const auto& tokens = r.life.tokens();
+  const auto& tokens = r.lifecycle.tokens();
   for (auto& c : r.calls) {
     if (!c.streamed || c.next_offset >= tokens.size()) {
       continue;
@@ -443,16 +450,16 @@
 {
   context_.counters().count("calls_total", {{"outcome", std::string(name_of(result))}});
   auto whole = to_response(requests::outcome_response(result, context_.now().wall));
-  context_.emit(caller_action(respond{.call = call, .whole = std::move(whole)}));
+  context_.emit(caller_action(respond{.call = call, .response = std::move(whole)}));
 }
 
-void request_table::send_kept(call_number call, const requests::kept_answer& answer, bool streamed,
-                              std::uint64_t from)
+void request_table::send_kept_answer(call_number call, const requests::kept_answer& answer,
+                                     bool streamed, std::uint64_t from)
 {
   context_.counters().count("kept_answers_sent_total");
   const bool answered = std::holds_alternative<requests::answered>(answer.result);
   if (!streamed || !answered || answer.tokens.empty()) {
-    context_.emit(caller_action(respond{.call = call, .whole = to_response(answer.response)}));
+    context_.emit(caller_action(respond{.call = call, .response = to_response(answer.response)}));
     return;
   }
   http::response head{.fields = {{.name = "Content-Type", .value = "text/event-stream"}}};
@@ -515,7 +522,8 @@
     if (!fleet || daemons.size() < 2) {
       continue;
     }
-    // Only the sum is known: what the others use is taken to be spread evenly among them.
+    // Only the fleet's total is known. The usage of the other daemons is assumed to be spread
+    // evenly among them.
     const auto others = static_cast<double>(daemons.size() - 1);
     auto& amounts = of_others[workspace];
     amounts[admission::share_unit::tokens_per_second] =
--- a/src/core/request_table.h
+++ b/src/core/request_table.h
@@ -1,10 +1,12 @@
-// The requests in flight at this daemon, from the call that opens one to its final outcome.
+// The requests in flight at this daemon, from the call that opens a request to its final outcome.
 //
-// Each request's decisions are made by its request_life; this class carries the life's actions out
-// and feeds it with what happens. Implementation files: request_table.cc (opening, attaching,
-// ending), request_table_answers.cc (callers who come back), request_table_actions.cc (the life's
-// actions), request_table_attempts.cc (exchanges with endpoints), request_table_peers.cc (handover,
-// queries of peers).
+// Each request has a state machine, active_request::lifecycle. request_table passes events to it
+// and performs the actions that it returns.
+//
+// Implementation files: request_table.cc (opening and ending requests, attaching calls),
+// request_table_answers.cc (callers that fetch an answer later), request_table_actions.cc (actions
+// of the state machine), request_table_attempts.cc (exchanges with endpoints),
+// request_table_peers.cc (handover to peers and queries of peers).
 
 #ifndef WISTERIAFLOW_SRC_CORE_REQUEST_TABLE_H_
 #define WISTERIAFLOW_SRC_CORE_REQUEST_TABLE_H_
@@ -33,14 +35,14 @@
 
 namespace wisteriaflow::core::internal {
 
-// The services that requests use.
+// The services that request_table uses. `members` is the daemon's view of the fleet.
 struct request_services {
   fleet& members;
   configuration& config;
   claim_service& claims;
   endpoint_calls& endpoints;
   placement& placer;
-  answer_places& places;
+  answer_directory& directory;
 };
 
 // The parts of a caller's target "/services/{service}/{path}".
@@ -54,52 +56,56 @@
  public:
   request_table(core_context& context, request_services services);
 
-  // A caller's POST /v1/completions.
+  // Handles a caller's POST /v1/completions.
   void open_completion(call_number call, http::request message);
 
-  // A caller's call to a plain service: `target` is the path and query at the service.
+  // Handles a caller's call to a plain service. `target` is the path and query at the service.
   void open_service_call(call_number call, http::request message, const std::string& service,
                          std::string target);
 
-  // A caller comes back for the answer kept under `key`.
+  // Handles a caller's GET /v1/answers/{key}: sends the kept answer, attaches the call to the
+  // running request, or redirects it to the daemon that has the answer.
   void fetch_answer(call_number call, const http::request& message, const std::string& key);
 
   void on_caller_closed(call_number call);
   void on_endpoint_leaving(const endpoint_id& endpoint, std::optional<wall_time> reclaim_at);
   void on_configuration_changed();
 
-  // A peer hands a request or an answer over.
+  // Accepts or refuses a request or an answer that a draining peer hands over.
   [[nodiscard]] hand_over_reply on_handed_over(const handed_over_request& handed);
 
-  // A peer asks what became of a claimed request, or where a key's request is run.
+  // Answers a peer's query for the state of a claimed request, or for the daemon that runs the
+  // request of a key.
   [[nodiscard]] request_status on_query(const request_query& query) const;
 
-  // Refuses new requests from now on; what still runs at `hand_over_at` goes to peers.
+  // Refuses new requests from now on. Requests that still run at `hand_over_at` are handed over to
+  // peers.
   void drain(mono_time hand_over_at);
 
-  // Whether nothing is left to be done for callers.
+  // Returns whether drain() was called and no request, handover or lookup is left.
   [[nodiscard]] bool drained() const
   {
-    return draining_ && active_.empty() && handing_ == 0 && looking_ == 0;
+    return draining_ && active_.empty() && pending_answer_handovers_ == 0 && pending_lookups_ == 0;
   }
 
   [[nodiscard]] std::size_t in_flight() const { return active_.size(); }
   [[nodiscard]] admission::admission_control& admission() { return admission_; }
 
-  // Feeds the shares with the fleet's demand. Called about twice a second.
+  // Updates the shares of workspaces from the demand of the fleet. To be called about twice a
+  // second.
   void refresh_shares();
 
  private:
-  // How long a daemon that has just started keeps callers waiting until it is ready.
+  // How long a call waits for a daemon that has just started to become ready.
   static constexpr std::chrono::milliseconds readiness_wait{5'000};
 
-  // A caller who comes back for an answer.
-  struct answer_wish {
+  // A caller's request for a kept answer.
+  struct answer_lookup {
     requests::answer_key key;
     bool streamed = false;
-    std::uint64_t from = 0; // the first token that it has not had
-    mono_time ready_by;     // until then a daemon that is not ready keeps it waiting
-    mono_time found_by;     // until then a key that nobody knows is asked for again
+    std::uint64_t from = 0; // index of the first token to send
+    mono_time ready_by;     // until then, the call waits for the daemon to become ready
+    mono_time found_by;     // until then, the lookup of an unknown key is repeated
   };
 
   using request_ptr = std::unique_ptr<active_request>;
@@ -110,47 +116,48 @@
   void open_service_call(call_number call, http::request message, service_target where,
                          mono_time ready_by);
   [[nodiscard]] bool can_open() const { return !draining_ && services_.config.ready(); }
-  void refuse_early(call_number call, const http::request& message, mono_time ready_by,
-                    std::function<void()> again);
-  void refuse_unless_placed(call_number call, const requests::answer_key& key,
-                            const requests::refused_not_run& refusal);
-  void refuse(active_request& r, const requests::admission_refused& refusal);
-  // Fills `r.where`; false if no routing intent selects the request.
+  void refuse_or_defer(call_number call, const http::request& message, mono_time ready_by,
+                       std::function<void()> again);
+  void refuse_or_redirect(call_number call, const requests::answer_key& key,
+                          const requests::refused_not_run& refusal);
+  void refuse_admission(active_request& r, const requests::admission_refused& refusal);
+  // Sets `r.request_route`. Returns false if no routing intent selects the request.
   [[nodiscard]] bool set_route(active_request& r) const;
   void open(call_number call, request_ptr fresh, bool streamed);
   void admit(active_request& r);
   [[nodiscard]] admission::admission_request admission_request_of(const active_request& r);
-  void join(const std::string& id, attached_call call);
-  void send_kept(call_number call, const requests::kept_answer& answer, bool streamed,
-                 std::uint64_t from);
-  void look_up(call_number call, const answer_wish& wish);
-  void look_elsewhere(call_number call, const answer_wish& wish);
-  void look_up_later(call_number call, const answer_wish& wish);
-  void send_place(call_number call, const requests::answer_key& wanted, const std::string& address);
+  void attach_call(const std::string& id, attached_call call);
+  void send_kept_answer(call_number call, const requests::kept_answer& answer, bool streamed,
+                        std::uint64_t from);
+  void look_up_answer(call_number call, const answer_lookup& lookup);
+  void look_up_at_peers(call_number call, const answer_lookup& lookup);
+  void schedule_lookup(call_number call, const answer_lookup& lookup);
+  void send_answer_location(call_number call, const requests::answer_key& wanted,
+                            const std::string& address);
   void feed(active_request& r, requests::request_event event);
   void close(active_request& r);
   void send_tokens(active_request& r);
   void send_outcome(call_number call, const requests::outcome& result);
-  void answer_call(active_request& r, attached_call& c, const requests::finish& end);
+  void complete_call(active_request& r, attached_call& c, const requests::finish& end);
   [[nodiscard]] std::string next_id();
   [[nodiscard]] active_request* find(const std::string& id);
-  [[nodiscard]] requests::response_parts whole_response_of(const active_request& r,
-                                                           const requests::finish& end) const;
+  [[nodiscard]] requests::response_parts complete_response_of(const active_request& r,
+                                                              const requests::finish& end) const;
   void count_outcome(const active_request& r, const requests::outcome& result);
 
   // request_table_actions.cc
-  void act(active_request& r, const requests::claim_key& a);
-  void act(active_request& r, const requests::start_attempt& a);
-  void act(active_request& r, const requests::cancel_attempt& a);
-  void act(active_request& r, const requests::ask_retry& a);
-  void act(active_request& r, const requests::export_kv& a);
-  void act(active_request& r, const requests::send_head& a);
-  void act(active_request& r, const requests::send_token& a);
-  void act(active_request& r, const requests::send_body& a);
-  void act(active_request& r, const requests::keep_answer& a);
-  void act(active_request& r, const requests::hand_over& a);
-  void act(active_request& r, const requests::redirect& a);
-  void act(active_request& r, const requests::finish& a);
+  void perform(active_request& r, const requests::claim_key& a);
+  void perform(active_request& r, const requests::start_attempt& a);
+  void perform(active_request& r, const requests::cancel_attempt& a);
+  void perform(active_request& r, const requests::ask_retry& a);
+  void perform(active_request& r, const requests::export_kv& a);
+  void perform(active_request& r, const requests::send_head& a);
+  void perform(active_request& r, const requests::send_token& a);
+  void perform(active_request& r, const requests::send_body& a);
+  void perform(active_request& r, const requests::keep_answer& a);
+  void perform(active_request& r, const requests::hand_over& a);
+  void perform(active_request& r, const requests::redirect& a);
+  void perform(active_request& r, const requests::finish& a);
   void on_claim(active_request& r, const claim_outcome& outcome);
 
   // request_table_attempts.cc
@@ -165,27 +172,27 @@
   void on_attempt_ended(const std::string& id, requests::attempt_number n);
   void on_attempt_failed(const std::string& id, requests::attempt_number n,
                          exchange_failure failure);
-  [[nodiscard]] active_request* running(const std::string& id, requests::attempt_number n);
-  void note_first_token(active_request& r);
-  void note_usage(const requests::token_usage& usage);
+  [[nodiscard]] active_request* find_running(const std::string& id, requests::attempt_number n);
+  void record_first_token(active_request& r);
+  void count_token_usage(const requests::token_usage& usage);
   void end_attempt(active_request& r);
   void cancel_at_engine(active_request& r, const running_attempt& run, bool confirm);
-  [[nodiscard]] std::vector<std::string> requests_at(const endpoint_id& endpoint) const;
-  void consider_moves(const endpoint_id& endpoint, std::optional<wall_time> reclaim_at);
-  [[nodiscard]] std::optional<double> own_decode_rate(const active_request& r) const;
+  [[nodiscard]] std::vector<std::string> requests_on(const endpoint_id& endpoint) const;
+  void update_moves(const endpoint_id& endpoint, std::optional<wall_time> reclaim_at);
+  [[nodiscard]] std::optional<double> measured_decode_rate(const active_request& r) const;
   [[nodiscard]] requests::move_estimate estimate_move(const active_request& r,
                                                       std::optional<wall_time> reclaim_at) const;
 
   // request_table_peers.cc
-  void hand_over_all();
+  void hand_over_requests();
   void hand_over_answers();
   [[nodiscard]] std::optional<daemon_id> choose_successor();
-  void offer(const std::string& id, const handed_over_request& handed, int tries_left);
-  [[nodiscard]] handed_over_request handed_over(const active_request& r,
-                                                const requests::handed_over_state& state) const;
+  void offer_to_peer(const std::string& id, const handed_over_request& handed, int tries_left);
+  [[nodiscard]] handed_over_request make_handover(const active_request& r,
+                                                  const requests::handed_over_state& state) const;
   void keep_handed_over(const handed_over_request& handed);
-  void send_claiming_to_answer(const requests::answer_key& key);
-  request_ptr rebuild(const handed_over_request& handed);
+  void redirect_pending_claim(const requests::answer_key& key);
+  request_ptr rebuild_request(const handed_over_request& handed);
 
   core_context& context_;
   request_services services_;
@@ -193,15 +200,15 @@
   admission::retry_budget retries_;
   requests::answer_store answers_;
   std::map<std::string, request_ptr> active_;
-  std::map<call_number, std::string> calls_;      // the request that a call waits for
-  std::map<std::uint64_t, std::string> by_nonce_; // requests in flight by claim
-  std::map<std::uint64_t, request_status> ended_; // ended claims that peers may ask about
-  std::multimap<wall_time, std::uint64_t> ended_until_;
-  std::deque<std::pair<std::string, requests::request_event>> events_; // to be fed
-  bool feeding_ = false;
+  std::map<call_number, std::string> calls_;             // id of the request that a call waits for
+  std::map<std::uint64_t, std::string> by_nonce_;        // ids of requests in flight by claim nonce
+  std::map<std::uint64_t, request_status> ended_claims_; // by nonce; peers may query them
+  std::multimap<wall_time, std::uint64_t> ended_claims_by_expiry_;
+  std::deque<std::pair<std::string, requests::request_event>> events_; // not processed yet
+  bool processing_events_ = false;
   bool draining_ = false;
-  int handing_ = 0; // answers on their way to a peer
-  int looking_ = 0; // callers for whom peers are asked where an answer is
+  int pending_answer_handovers_ = 0; // answers offered to a peer without a reply yet
+  int pending_lookups_ = 0;          // calls that wait for readiness or a directory lookup
   std::uint64_t last_id_ = 0;
 };
 
--- a/src/core/request_table_actions.cc
+++ b/src/core/request_table_actions.cc
@@ -1,4 +1,4 @@
-// What a request's life asks for, carried out.
+// The part of request_table that performs the actions of a request's state machine.
 
 #include <algorithm>
 #include <utility>
@@ -28,25 +28,26 @@
 
 } // namespace
 
-void request_table::act(active_request& r, const requests::claim_key& /*a*/)
+void request_table::perform(active_request& r, const requests::claim_key& /*a*/)
 {
   try {
     const auto now = context_.now();
     const auto key = claims::request_key::parse(r.headers.key, now.wall);
-    const claim_wish wish{.key = key.hash_for(r.headers.workspace),
-                          .body_hash = r.body_hash.low,
-                          .created = key.created(),
-                          .workspace = r.headers.workspace,
-                          .deadline = r.headers.deadline};
+    const claim_parameters parameters{.key = key.hash_for(r.headers.workspace),
+                                      .body_hash = r.body_hash.low,
+                                      .created = key.created(),
+                                      .workspace = r.headers.workspace,
+                                      .deadline = r.headers.deadline};
     const auto id = r.id;
-    r.claim_nonce = services_.claims.claim(wish, [this, id](const claim_outcome& outcome) {
+    r.claim_nonce = services_.claims.claim(parameters, [this, id](const claim_outcome& outcome) {
       if (auto* claimed = find(id)) {
         on_claim(*claimed, outcome);
       }
     });
     by_nonce_.emplace(r.claim_nonce, r.id);
   } catch (const claims::invalid_key_error& e) {
-    // The headers were checked before; only a key from the future is left to refuse.
+    // The format of the key was checked with the headers. What remains is a key whose creation time
+    // is in the future.
     feed(r, requests::claim_unavailable{context_.now().wall + claim_retry});
   }
 }
@@ -57,7 +58,7 @@
   context_.counters().observe(
       "claim_seconds", std::chrono::duration<double>(context_.now().mono - r.received_at).count());
   if (const auto* granted = std::get_if<claims::dispatch_claimed>(&outcome)) {
-    services_.places.announce(r.key, caller_address_text(context_.options()));
+    services_.directory.publish(r.key, caller_address_text(context_.options()));
     feed(r, requests::claim_granted{granted->nonce});
     return;
   }
@@ -78,9 +79,9 @@
     feed(r, requests::claim_unavailable{context_.now().wall + claim_retry});
     return;
   }
-  // Nobody can say that an earlier submission of the key was not run. It may have been handed over
-  // by an executor that is gone: then the key's keepers know where it is.
-  services_.places.find(r.key, [this, id = r.id](const std::string& address) {
+  // An earlier submission of the key may have run. If an executor that is gone now has handed it
+  // over, the answer directory knows the daemon that has it.
+  services_.directory.find(r.key, [this, id = r.id](const std::string& address) {
     if (auto* waiting = find(id)) {
       const auto state =
           address.empty() ? duplicate_state::outcome_unknown : duplicate_state::in_flight_elsewhere;
@@ -89,9 +90,10 @@
   });
 }
 
-void request_table::act(active_request& r, const requests::start_attempt& a)
+void request_table::perform(active_request& r, const requests::start_attempt& a)
 {
-  const auto chosen = services_.placer.place(*services_.config.current(), r.where, a.exclude);
+  const auto chosen =
+      services_.placer.place(*services_.config.current(), r.request_route, a.exclude);
   const auto* where = std::get_if<placed>(&chosen);
   if (where == nullptr) {
     feed(r, requests::attempt_failed{.attempt = a.attempt,
@@ -106,7 +108,7 @@
   }
 }
 
-void request_table::act(active_request& r, const requests::cancel_attempt& a)
+void request_table::perform(active_request& r, const requests::cancel_attempt& a)
 {
   if (!r.running || r.running->attempt != a.attempt) {
     if (a.confirm) {
@@ -122,7 +124,7 @@
   cancel_at_engine(r, run, a.confirm);
 }
 
-void request_table::act(active_request& r, const requests::ask_retry& /*a*/)
+void request_table::perform(active_request& r, const requests::ask_retry& /*a*/)
 {
   const auto now = context_.now();
   if (!retries_.try_retry(now.mono)) {
@@ -132,14 +134,14 @@
   }
   context_.counters().count("retries_total");
   const auto due = admission::next_retry_at({}, r.retries++, now.mono, context_.random());
-  context_.timers().at(due, [this, id = r.id] {
+  context_.timers().schedule(due, [this, id = r.id] {
     if (auto* waiting = find(id)) {
       feed(*waiting, requests::retry_granted{});
     }
   });
 }
 
-void request_table::act(active_request& r, const requests::export_kv& a)
+void request_table::perform(active_request& r, const requests::export_kv& a)
 {
   if (!r.running || r.running->attempt != a.attempt) {
     feed(r, requests::kv_export_failed{a.attempt});
@@ -166,7 +168,7 @@
         }
         const auto* tokens = o->if_contains("tokens");
         const auto n = tokens != nullptr && tokens->is_number() ? tokens->to_number<std::uint64_t>()
-                                                                : moving->life.tokens().size();
+                                                                : moving->lifecycle.tokens().size();
         feed(*moving,
              requests::kv_exported{.attempt = attempt,
                                    .handle = boost::json::value_to<std::string>(o->at("handle")),
@@ -174,26 +176,26 @@
       });
 }
 
-void request_table::act(active_request& r, const requests::send_head& a)
+void request_table::perform(active_request& r, const requests::send_head& a)
 {
   r.answer.status = a.status;
   r.answer.fields = to_headers(a.fields);
 }
 
-// Streamed calls get their tokens from send_tokens, which knows what each one has.
-void request_table::act(active_request& /*r*/, const requests::send_token& /*a*/) {}
+// Does nothing: send_tokens() sends each streamed call the tokens that it lacks.
+void request_table::perform(active_request& /*r*/, const requests::send_token& /*a*/) {}
 
-void request_table::act(active_request& r, const requests::send_body& a)
+void request_table::perform(active_request& r, const requests::send_body& a)
 {
   r.answer.body = a.bytes;
 }
 
-void request_table::act(active_request& r, const requests::keep_answer& a)
+void request_table::perform(active_request& r, const requests::keep_answer& a)
 {
   r.keep_until = a.until;
 }
 
-void request_table::act(active_request& r, const requests::redirect& a)
+void request_table::perform(active_request& r, const requests::redirect& a)
 {
   for (auto& c : r.calls) {
     calls_.erase(c.call);
@@ -203,7 +205,8 @@
     }
     const auto location = "http://" + a.address + "/v1/answers/" + r.key.key;
     if (c.head_sent) {
-      // A stream cannot be redirected any more: its last event says where to go on.
+      // A stream that has started cannot be redirected. Its last event gives the location at which
+      // it continues.
       const auto body = boost::json::serialize(boost::json::object{{"location", location}});
       context_.emit(caller_action(
           write_response{.call = c.call, .bytes = "event: moved\ndata: " + body + "\n\n"}));
@@ -212,17 +215,17 @@
     }
     http::response moved{.status = status_see_other};
     moved.fields.push_back({.name = "Location", .value = location});
-    context_.emit(caller_action(respond{.call = c.call, .whole = std::move(moved)}));
+    context_.emit(caller_action(respond{.call = c.call, .response = std::move(moved)}));
   }
   r.calls.clear();
   if (!a.address.empty() && a.address != caller_address_text(context_.options())) {
-    services_.places.announce(r.key, a.address);
+    services_.directory.publish(r.key, a.address);
   }
   answers_.release(r.key);
 }
 
-requests::response_parts request_table::whole_response_of(const active_request& r,
-                                                          const requests::finish& end) const
+requests::response_parts request_table::complete_response_of(const active_request& r,
+                                                             const requests::finish& end) const
 {
   if (!std::holds_alternative<requests::answered>(end.result)) {
     return requests::outcome_response(end.result, context_.now().wall);
@@ -237,19 +240,19 @@
   return out;
 }
 
-void request_table::answer_call(active_request& r, attached_call& c, const requests::finish& end)
+void request_table::complete_call(active_request& r, attached_call& c, const requests::finish& end)
 {
   const bool answered = std::holds_alternative<requests::answered>(end.result);
   const bool refused = std::holds_alternative<requests::refused_not_run>(end.result);
-  if (refused && !r.answer_place.empty()) {
-    send_place(c.call, r.key, r.answer_place);
+  if (refused && !r.answer_address.empty()) {
+    send_answer_location(c.call, r.key, r.answer_address);
     return;
   }
   const bool is_stream =
-      c.streamed && (c.head_sent || (answered && r.generation() && r.answer.status == 200));
+      c.streamed && (c.head_sent || (answered && r.is_generation() && r.answer.status == 200));
   if (!is_stream) {
-    context_.emit(
-        caller_action(respond{.call = c.call, .whole = to_response(whole_response_of(r, end))}));
+    context_.emit(caller_action(
+        respond{.call = c.call, .response = to_response(complete_response_of(r, end))}));
     return;
   }
   if (!c.head_sent) {
@@ -263,19 +266,19 @@
   context_.emit(caller_action(end_response{.call = c.call}));
 }
 
-void request_table::act(active_request& r, const requests::finish& a)
+void request_table::perform(active_request& r, const requests::finish& a)
 {
   send_tokens(r);
   for (auto& c : r.calls) {
     calls_.erase(c.call);
-    answer_call(r, c, a);
+    complete_call(r, c, a);
   }
   r.calls.clear();
   count_outcome(r, a.result);
   if (r.keep_until) {
     requests::kept_answer kept{.result = a.result,
-                               .response = whole_response_of(r, a),
-                               .tokens = r.life.tokens(),
+                               .response = complete_response_of(r, a),
+                               .tokens = r.lifecycle.tokens(),
                                .finish_reason = a.finish_reason,
                                .usage = a.usage};
     answers_.keep(r.key, r.body_hash, std::move(kept), *r.keep_until);
@@ -294,22 +297,24 @@
   const request_status status{.state = answered ? request_state::answered
                                                 : request_state::outcome_unknown,
                               .caller_address = caller_address_text(context_.options())};
-  ended_.insert_or_assign(r.claim_nonce, status);
-  ended_until_.emplace(context_.now().wall + context_.options().answer_retention, r.claim_nonce);
+  ended_claims_.insert_or_assign(r.claim_nonce, status);
+  ended_claims_by_expiry_.emplace(context_.now().wall + context_.options().answer_retention,
+                                  r.claim_nonce);
 }
 
 void request_table::count_outcome(const active_request& r, const requests::outcome& result)
 {
   auto& counters = context_.counters();
-  const std::string kind = r.generation() ? "generation" : "service";
+  const std::string kind = r.is_generation() ? "generation" : "service";
   counters.count("requests_total", {{"outcome", std::string(name_of(result))}, {"kind", kind}});
   counters.count("workspace_requests_total", {{"workspace", r.headers.workspace.value()}});
   counters.observe("request_seconds",
                    std::chrono::duration<double>(context_.now().mono - r.received_at).count());
-  counters.count("recomputed_tokens_total", {}, static_cast<double>(r.life.recomputed_tokens()));
+  counters.count("recomputed_tokens_total", {},
+                 static_cast<double>(r.lifecycle.recomputed_tokens()));
 }
 
-// Gives back what the request held. The life's last action has been carried out.
+// Releases the resources of a request after the last action of its state machine was performed.
 void request_table::close(active_request& r)
 {
   context_.timers().cancel(r.deadline_timer);
@@ -318,15 +323,15 @@
     end_attempt(r);
   }
   if (r.admitted) {
-    const auto used =
-        static_cast<double>(r.where.prompt_tokens) + static_cast<double>(r.life.tokens().size());
+    const auto used = static_cast<double>(r.request_route.prompt_tokens) +
+                      static_cast<double>(r.lifecycle.tokens().size());
     admission_.finish(*r.admitted, used, context_.now().mono);
   }
   by_nonce_.erase(r.claim_nonce);
   const auto now = context_.now().wall;
-  while (!ended_until_.empty() && ended_until_.begin()->first < now) {
-    ended_.erase(ended_until_.begin()->second);
-    ended_until_.erase(ended_until_.begin());
+  while (!ended_claims_by_expiry_.empty() && ended_claims_by_expiry_.begin()->first < now) {
+    ended_claims_.erase(ended_claims_by_expiry_.begin()->second);
+    ended_claims_by_expiry_.erase(ended_claims_by_expiry_.begin());
   }
   answers_.expire(now);
   const auto id = r.id;
--- a/src/core/request_table_answers.cc
+++ b/src/core/request_table_answers.cc
@@ -1,4 +1,4 @@
-// Answers that callers come back for, kept here or at another daemon.
+// The part of request_table for callers that fetch an answer, which this or another daemon has.
 
 #include <charconv>
 #include <utility>
@@ -9,8 +9,9 @@
 namespace wisteriaflow::core::internal {
 namespace {
 
-constexpr std::chrono::milliseconds place_wait{3'000}; // longer than a claim while its shard moves
-constexpr std::chrono::milliseconds place_check{200};
+// Longer than a claim takes while its shard changes owner.
+constexpr std::chrono::milliseconds lookup_wait{3'000};
+constexpr std::chrono::milliseconds lookup_interval{200};
 constexpr int status_see_other = 303;
 constexpr int status_not_found = 404;
 
@@ -36,62 +37,64 @@
   const bool streamed =
       !last.empty() || accepted.find("text/event-stream") != std::string_view::npos;
   const auto now = context_.now().mono;
-  look_up(call, {.key = {.workspace = workspace, .key = key},
-                 .streamed = streamed,
-                 .from = last.empty() ? 0 : offset + 1,
-                 .ready_by = now + readiness_wait,
-                 .found_by = now + place_wait});
+  look_up_answer(call, {.key = {.workspace = workspace, .key = key},
+                        .streamed = streamed,
+                        .from = last.empty() ? 0 : offset + 1,
+                        .ready_by = now + readiness_wait,
+                        .found_by = now + lookup_wait});
 }
 
-void request_table::look_up(call_number call, const answer_wish& wish)
+void request_table::look_up_answer(call_number call, const answer_lookup& lookup)
 {
-  const auto found = answers_.find(wish.key);
+  const auto found = answers_.find(lookup.key);
   if (const auto* kept = std::get_if<requests::answer_found>(&found)) {
-    send_kept(call, kept->answer, wish.streamed, wish.from);
+    send_kept_answer(call, kept->answer, lookup.streamed, lookup.from);
     return;
   }
   if (const auto* run = std::get_if<requests::run_joined>(&found)) {
-    join(run->request_id, {.call = call, .streamed = wish.streamed, .next_offset = wish.from});
+    attach_call(run->request_id,
+                {.call = call, .streamed = lookup.streamed, .next_offset = lookup.from});
     return;
   }
-  look_elsewhere(call, wish);
+  look_up_at_peers(call, lookup);
 }
 
-// A daemon that has just started knows neither its peers nor what they keep, and a request's place
-// is told only once its key is claimed: saying at once that there is no answer would be wrong.
-void request_table::look_elsewhere(call_number call, const answer_wish& wish)
+// Repeats a lookup that finds nothing before reporting that there is no answer: a daemon that has
+// just started knows neither its peers nor their answers, and the directory entry of a request is
+// published only after its key is claimed.
+void request_table::look_up_at_peers(call_number call, const answer_lookup& lookup)
 {
   const auto now = context_.now().mono;
   if (!services_.config.ready()) {
-    if (now >= wish.ready_by) {
+    if (now >= lookup.ready_by) {
       send_outcome(call, requests::outcome_unknown{requests::unknown_reason::earlier_run_lost});
     } else {
-      look_up_later(call, wish);
+      schedule_lookup(call, lookup);
     }
     return;
   }
-  ++looking_;
-  services_.places.find(wish.key, [this, call, wish](const std::string& address) {
-    --looking_;
-    if (address.empty() && context_.now().mono < wish.found_by) {
-      look_up_later(call, wish);
+  ++pending_lookups_;
+  services_.directory.find(lookup.key, [this, call, lookup](const std::string& address) {
+    --pending_lookups_;
+    if (address.empty() && context_.now().mono < lookup.found_by) {
+      schedule_lookup(call, lookup);
     } else {
-      send_place(call, wish.key, address);
+      send_answer_location(call, lookup.key, address);
     }
   });
 }
 
-void request_table::look_up_later(call_number call, const answer_wish& wish)
+void request_table::schedule_lookup(call_number call, const answer_lookup& lookup)
 {
-  ++looking_;
-  context_.timers().at(context_.now().mono + place_check, [this, call, wish] {
-    --looking_;
-    look_up(call, wish);
+  ++pending_lookups_;
+  context_.timers().schedule(context_.now().mono + lookup_interval, [this, call, lookup] {
+    --pending_lookups_;
+    look_up_answer(call, lookup);
   });
 }
 
-void request_table::send_place(call_number call, const requests::answer_key& wanted,
-                               const std::string& address)
+void request_table::send_answer_location(call_number call, const requests::answer_key& wanted,
+                                         const std::string& address)
 {
   if (address.empty()) {
     send_outcome(call, requests::invalid{status_not_found, "no answer is kept for this key"});
@@ -100,7 +103,7 @@
   http::response moved{.status = status_see_other};
   moved.fields.push_back(
       {.name = "Location", .value = "http://" + address + "/v1/answers/" + wanted.key});
-  context_.emit(caller_action(respond{.call = call, .whole = std::move(moved)}));
+  context_.emit(caller_action(respond{.call = call, .response = std::move(moved)}));
 }
 
 } // namespace wisteriaflow::core::internal
--- a/src/core/request_table_attempts.cc
+++ b/src/core/request_table_attempts.cc
@@ -1,4 +1,5 @@
-// Exchanges of requests with endpoints.
+// The part of request_table for attempts, which are exchanges with endpoints, and for moves of
+// requests away from leaving endpoints.
 
 #include <algorithm>
 #include <utility>
@@ -18,29 +19,30 @@
 constexpr std::size_t error_body_limit = 65'536;
 constexpr std::chrono::milliseconds move_check{250};
 
-// Header fields of a caller that are its connection's own, or the daemon's.
-bool is_passed_on(const std::string& name)
+// Returns whether a header field is forwarded. Fields that concern a single connection or the
+// daemon are not.
+bool is_forwarded(const std::string& name)
 {
-  static const std::vector<std::string> kept_back = {"connection", "content-length",
-                                                     "expect",     "host",
-                                                     "keep-alive", "te",
-                                                     "trailer",    "transfer-encoding",
-                                                     "upgrade",    "idempotency-key",
-                                                     "request-id"};
+  static const std::vector<std::string> not_forwarded = {"connection", "content-length",
+                                                         "expect",     "host",
+                                                         "keep-alive", "te",
+                                                         "trailer",    "transfer-encoding",
+                                                         "upgrade",    "idempotency-key",
+                                                         "request-id"};
   std::string lower = name;
   std::transform(lower.begin(), lower.end(), lower.begin(),
                  [](unsigned char c) { return static_cast<char>(std::tolower(c)); });
   if (lower.starts_with("proxy-") || lower.starts_with("wisteriaflow-")) {
     return false;
   }
-  return std::find(kept_back.begin(), kept_back.end(), lower) == kept_back.end();
+  return std::find(not_forwarded.begin(), not_forwarded.end(), lower) == not_forwarded.end();
 }
 
 http::headers end_to_end(const http::headers& in)
 {
   http::headers out;
   std::copy_if(in.begin(), in.end(), std::back_inserter(out),
-               [](const http::header& field) { return is_passed_on(field.name); });
+               [](const http::header& field) { return is_forwarded(field.name); });
   return out;
 }
 
@@ -63,7 +65,7 @@
                                          const requests::start_attempt& a) const
 {
   http::request out;
-  if (!r.generation()) {
+  if (!r.is_generation()) {
     out.method = r.message.method;
     out.target = r.service_target;
     out.fields = end_to_end(r.message.fields);
@@ -72,8 +74,8 @@
     out.method = "POST";
     out.target = "/v1/completions";
     out.fields.push_back({.name = "Content-Type", .value = "application/json"});
-    const auto priority = r.headers.priority.value_or(static_cast<int>(r.where.priority));
-    out.body = requests::render_engine_body(*r.completion, {.model = r.where.model.value(),
+    const auto priority = r.headers.priority.value_or(static_cast<int>(r.request_route.priority));
+    out.body = requests::render_engine_body(*r.completion, {.model = r.request_route.model.value(),
                                                             .priority = priority,
                                                             .resume_tokens = a.resume_tokens,
                                                             .resume_text = a.resume_text});
@@ -96,27 +98,29 @@
   observer.on_ended = [this, id, n] { on_attempt_ended(id, n); };
   observer.on_failed = [this, id, n](exchange_failure f) { on_attempt_failed(id, n, f); };
   const auto now = context_.now().mono;
-  const int to_compute = std::max(0, r.where.prompt_tokens - where.believed_tokens);
+  const int to_compute = std::max(0, r.request_route.prompt_tokens - where.expected_cached_tokens);
   running_attempt run;
   run.attempt = n;
   run.endpoint = where.endpoint;
   run.address = where.address;
-  run.believed_tokens = where.believed_tokens;
-  run.work = services_.members.endpoints().on_sent(where.slot, to_compute, now);
+  run.expected_cached_tokens = where.expected_cached_tokens;
+  run.sent = services_.members.endpoints().on_sent(where.slot, to_compute, now);
   run.exchange = services_.endpoints.open(where.address, message_for(r, a), r.headers.deadline,
-                                          r.generation(), std::move(observer));
-  services_.members.prefixes().on_sent(where.slot, r.where.blocks, now);
+                                          r.is_generation(), std::move(observer));
+  services_.members.prefixes().on_sent(where.slot, r.request_route.blocks, now);
   r.running = std::move(run);
   context_.counters().count("attempts_total",
-                            {{"kind", r.generation() ? "generation" : "service"}});
+                            {{"kind", r.is_generation() ? "generation" : "service"}});
 }
 
-// An import that fails costs an idempotent request only the recomputation: its attempt carries the
-// text as well. Without the cache the attempt would be a second run of any other request.
+// Imports the exported KV cache and starts the attempt. If the import fails, an idempotent request
+// only has to recompute its tokens, because its attempt contains the text as well. For any other
+// request, an attempt without the cache would be a second run, so that it fails.
 void request_table::import_then_start(active_request& r, const requests::start_attempt& a,
                                       const placed& where)
 {
-  // A leaving endpoint is in no subset of a daemon that has just started, nor of a peer's.
+  // The leaving endpoint need not be in the subset of this daemon, if it has just started or has
+  // taken the request over from a peer.
   const auto from = services_.members.endpoint_address_of(a.transfer->from);
   http::request message{.method = "POST", .target = "/kv/import"};
   message.fields.push_back({.name = "Content-Type", .value = "application/json"});
@@ -127,7 +131,7 @@
       where.address, std::move(message), deadline,
       [this, id = r.id, a, where](const std::optional<http::response>& whole) {
         auto* moving = find(id);
-        if (moving == nullptr || moving->life.endpoint() != where.endpoint) {
+        if (moving == nullptr || moving->lifecycle.endpoint() != where.endpoint) {
           return;
         }
         const bool imported = whole && whole->status == status_ok;
@@ -141,7 +145,7 @@
       });
 }
 
-active_request* request_table::running(const std::string& id, requests::attempt_number n)
+active_request* request_table::find_running(const std::string& id, requests::attempt_number n)
 {
   auto* r = find(id);
   return r != nullptr && r->running && r->running->attempt == n ? r : nullptr;
@@ -150,14 +154,14 @@
 void request_table::on_attempt_head(const std::string& id, requests::attempt_number n,
                                     const http::response& head)
 {
-  auto* r = running(id, n);
+  auto* r = find_running(id, n);
   if (r == nullptr) {
     return;
   }
-  services_.members.connected(r->running->endpoint);
+  services_.members.on_connected(r->running->endpoint);
   r->running->status = head.status;
   r->running->fields = end_to_end(head.fields);
-  if (!r->generation() || head.status == status_ok) {
+  if (!r->is_generation() || head.status == status_ok) {
     feed(*r, requests::attempt_head{
                  .attempt = n, .status = head.status, .fields = to_fields(r->running->fields)});
   }
@@ -166,11 +170,11 @@
 void request_table::on_attempt_bytes(const std::string& id, requests::attempt_number n,
                                      const std::string& bytes)
 {
-  auto* r = running(id, n);
+  auto* r = find_running(id, n);
   if (r == nullptr) {
     return;
   }
-  if (!r->generation()) {
+  if (!r->is_generation()) {
     feed(*r, requests::body_arrived{.attempt = n, .bytes = bytes});
     return;
   }
@@ -190,36 +194,36 @@
     return;
   }
   for (const auto& e : events) {
-    r = running(id, n); // an earlier event may have ended the attempt
+    r = find_running(id, n); // An earlier event may have ended the attempt.
     if (r == nullptr) {
       return;
     }
     if (const auto* token = std::get_if<requests::engine_token>(&e)) {
-      note_first_token(*r);
+      record_first_token(*r);
       feed(*r, requests::token_arrived{.attempt = n, .offset = token->offset, .text = token->text});
     } else if (const auto* end = std::get_if<requests::engine_finish>(&e)) {
-      r->running->end = *end;
-      r->running->end_seen = true;
+      r->running->finish = *end;
+      r->running->finish_received = true;
     }
   }
 }
 
-void request_table::note_first_token(active_request& r)
+void request_table::record_first_token(active_request& r)
 {
   if (r.running->first_token_at) {
     return;
   }
   const auto now = context_.now().mono;
   r.running->first_token_at = now;
-  r.running->tokens_before = r.life.tokens().size();
-  services_.members.endpoints().on_first_token(r.running->work, now);
+  r.running->tokens_before = r.lifecycle.tokens().size();
+  services_.members.endpoints().on_first_token(r.running->sent, now);
   if (r.running->attempt == 1) {
     context_.counters().observe("first_token_seconds",
                                 std::chrono::duration<double>(now - r.received_at).count());
   }
 }
 
-void request_table::note_usage(const requests::token_usage& usage)
+void request_table::count_token_usage(const requests::token_usage& usage)
 {
   auto& counters = context_.counters();
   counters.count("prompt_tokens_total", {}, static_cast<double>(usage.prompt_tokens));
@@ -227,25 +231,25 @@
   counters.count("completion_tokens_total", {}, static_cast<double>(usage.completion_tokens));
 }
 
-// The attempt no longer occupies its endpoint.
+// Records that the attempt has finished at its endpoint.
 void request_table::end_attempt(active_request& r)
 {
   if (!r.running) {
     return;
   }
-  const auto tokens = static_cast<int>(r.life.tokens().size());
-  services_.members.endpoints().on_finished(r.running->work, tokens, context_.now().mono);
+  const auto tokens = static_cast<int>(r.lifecycle.tokens().size());
+  services_.members.endpoints().on_finished(r.running->sent, tokens, context_.now().mono);
   r.running.reset();
 }
 
 void request_table::on_attempt_ended(const std::string& id, requests::attempt_number n)
 {
-  auto* r = running(id, n);
+  auto* r = find_running(id, n);
   if (r == nullptr) {
     return;
   }
   const auto run = *r->running;
-  if (r->generation() && run.status != status_ok) {
+  if (r->is_generation() && run.status != status_ok) {
     end_attempt(*r);
     feed(*r, requests::attempt_failed{.attempt = n,
                                       .kind = requests::failure_kind::endpoint_status,
@@ -254,34 +258,35 @@
                                                    .body = run.error_body}});
     return;
   }
-  if (run.end_seen) {
-    note_usage(run.end.usage);
+  if (run.finish_received) {
+    count_token_usage(run.finish.usage);
   }
   end_attempt(*r);
   feed(*r, requests::attempt_finished{.attempt = n,
-                                      .tokens = run.end.tokens,
-                                      .finish_reason = run.end.finish_reason,
-                                      .usage = run.end.usage});
+                                      .tokens = run.finish.tokens,
+                                      .finish_reason = run.finish.finish_reason,
+                                      .usage = run.finish.usage});
 }
 
 void request_table::on_attempt_failed(const std::string& id, requests::attempt_number n,
                                       exchange_failure failure)
 {
-  auto* r = running(id, n);
+  auto* r = find_running(id, n);
   if (r == nullptr) {
     return;
   }
   if (failure == exchange_failure::not_sent) {
-    services_.members.connect_failed(r->running->endpoint);
+    services_.members.on_connect_failed(r->running->endpoint);
   }
   end_attempt(*r);
   feed(*r, requests::attempt_failed{.attempt = n, .kind = kind_of(failure)});
 }
 
-// Frees the engine's place. With `confirm` the life waits to know that the run has stopped.
+// Cancels an attempt at the engine, which frees its batch slot. With `confirm`, the request's state
+// machine waits for the result: whether the run has stopped.
 void request_table::cancel_at_engine(active_request& r, const running_attempt& run, bool confirm)
 {
-  if (!r.generation()) {
+  if (!r.is_generation()) {
     if (confirm) {
       feed(r, requests::cancel_failed{run.attempt});
     }
@@ -314,7 +319,7 @@
 requests::move_estimate request_table::estimate_move(const active_request& r,
                                                      std::optional<wall_time> reclaim_at) const
 {
-  // Rates that nothing has measured yet; moderate, so that no step is ruled out.
+  // Rates used until there are samples. They are moderate, so that they rule out no kind of move.
   constexpr double default_transfer_rate = 50'000; // tokens/s of KV cache
   constexpr double default_prefill_rate = 8'000;
   constexpr double default_decode_rate = 30;
@@ -325,32 +330,33 @@
   if (reclaim_at) {
     out.reclaim_at = now.mono + (*reclaim_at - now.wall);
   }
-  const auto made = r.life.tokens().size();
-  out.kv_tokens = static_cast<std::uint64_t>(r.where.prompt_tokens) + made;
-  const auto wanted = static_cast<std::uint64_t>(std::max(0, r.where.output_tokens));
+  const auto made = r.lifecycle.tokens().size();
+  out.kv_tokens = static_cast<std::uint64_t>(r.request_route.prompt_tokens) + made;
+  const auto wanted = static_cast<std::uint64_t>(std::max(0, r.request_route.output_tokens));
   out.remaining_tokens = wanted > made ? wanted - made : 0;
   out.transfer_rate = default_transfer_rate;
   out.prefill_rate = default_prefill_rate;
   out.decode_rate = default_decode_rate;
-  const auto slot = services_.members.endpoints().find(r.life.endpoint());
+  const auto slot = services_.members.endpoints().find(r.lifecycle.endpoint());
   if (slot) {
     const auto& state = services_.members.endpoints().at(*slot);
     out.decode_rate = state.decode_rate.sampled() ? state.decode_rate.value() : default_decode_rate;
     out.prefill_rate =
         state.prefill_rate.sampled() ? state.prefill_rate.value() : default_prefill_rate;
   }
-  out.decode_rate = own_decode_rate(r).value_or(out.decode_rate);
+  out.decode_rate = measured_decode_rate(r).value_or(out.decode_rate);
   return out;
 }
 
-// What this very run has shown says more than any average; nothing before it has shown enough.
-std::optional<double> request_table::own_decode_rate(const active_request& r) const
+// Returns the decode rate of this attempt, which is more accurate than the endpoint's average, or
+// nothing before it has produced enough tokens.
+std::optional<double> request_table::measured_decode_rate(const active_request& r) const
 {
   constexpr std::size_t enough = 4;
   if (!r.running || !r.running->first_token_at) {
     return std::nullopt;
   }
-  const auto made = r.life.tokens().size() - r.running->tokens_before;
+  const auto made = r.lifecycle.tokens().size() - r.running->tokens_before;
   const std::chrono::duration<double> took = context_.now().mono - *r.running->first_token_at;
   if (made < enough || took.count() <= 0) {
     return std::nullopt;
@@ -358,11 +364,11 @@
   return static_cast<double>(made) / took.count();
 }
 
-std::vector<std::string> request_table::requests_at(const endpoint_id& endpoint) const
+std::vector<std::string> request_table::requests_on(const endpoint_id& endpoint) const
 {
   std::vector<std::string> out;
   for (const auto& [id, r] : active_) {
-    if (r->life.endpoint() == endpoint) {
+    if (r->lifecycle.endpoint() == endpoint) {
       out.push_back(id);
     }
   }
@@ -372,27 +378,27 @@
 void request_table::on_endpoint_leaving(const endpoint_id& endpoint,
                                         std::optional<wall_time> reclaim_at)
 {
-  context_.counters().count("moves_total", {}, static_cast<double>(requests_at(endpoint).size()));
-  consider_moves(endpoint, reclaim_at);
+  context_.counters().count("moves_total", {}, static_cast<double>(requests_on(endpoint).size()));
+  update_moves(endpoint, reclaim_at);
 }
 
-// Again and again until the endpoint is empty or gone: an estimate by which a request could finish
-// in time may have been wrong, and a move that failed may succeed now.
-void request_table::consider_moves(const endpoint_id& endpoint, std::optional<wall_time> reclaim_at)
+// Repeats the decision periodically until the endpoint runs no request or is gone: the estimate
+// that a request could finish in time may have been wrong, and a move that failed may succeed now.
+void request_table::update_moves(const endpoint_id& endpoint, std::optional<wall_time> reclaim_at)
 {
-  const auto there = requests_at(endpoint);
+  const auto affected = requests_on(endpoint);
   const bool gone = reclaim_at && *reclaim_at <= context_.now().wall;
-  if (there.empty() || gone) {
+  if (affected.empty() || gone) {
     return;
   }
-  for (const auto& id : there) {
+  for (const auto& id : affected) {
     if (auto* r = find(id)) {
       feed(*r, requests::reclaim_announced{.endpoint = endpoint,
                                            .estimate = estimate_move(*r, reclaim_at)});
     }
   }
-  context_.timers().at(context_.now().mono + move_check,
-                       [this, endpoint, reclaim_at] { consider_moves(endpoint, reclaim_at); });
+  context_.timers().schedule(context_.now().mono + move_check,
+                             [this, endpoint, reclaim_at] { update_moves(endpoint, reclaim_at); });
 }
 
 } // namespace wisteriaflow::core::internal
--- a/src/core/request_table_peers.cc
+++ b/src/core/request_table_peers.cc
@@ -1,4 +1,5 @@
-// Requests and answers that go to peers when this daemon leaves, or come from them.
+// The part of request_table for handovers: a draining daemon hands over running requests and kept
+// answers to peers.
 
 #include <algorithm>
 #include <utility>
@@ -15,7 +16,8 @@
 
 constexpr int handover_tries = 4;
 
-// What a kept answer says of itself: an unknown outcome is kept and handed over like any other.
+// Reads the outcome of a kept answer from its header. Unknown outcomes are kept and handed over
+// like others.
 requests::outcome outcome_of(const http::response& kept)
 {
   const auto name = http::find_header(kept.fields, "Wisteriaflow-Outcome");
@@ -37,10 +39,10 @@
   }
   draining_ = true;
   hand_over_answers();
-  context_.timers().at(hand_over_at, [this] { hand_over_all(); });
+  context_.timers().schedule(hand_over_at, [this] { hand_over_requests(); });
 }
 
-void request_table::hand_over_all()
+void request_table::hand_over_requests()
 {
   std::vector<std::string> ids;
   for (const auto& [id, r] : active_) {
@@ -54,7 +56,7 @@
   hand_over_answers();
 }
 
-// A live peer that is not leaving, by chance, so that one daemon's load goes to many.
+// Chooses a random live peer that is not leaving, so that the load of this daemon is spread.
 std::optional<daemon_id> request_table::choose_successor()
 {
   auto daemons = services_.members.live_daemon_ids();
@@ -66,8 +68,8 @@
   return daemons[draw(context_.random())];
 }
 
-handed_over_request request_table::handed_over(const active_request& r,
-                                               const requests::handed_over_state& state) const
+handed_over_request request_table::make_handover(const active_request& r,
+                                                 const requests::handed_over_state& state) const
 {
   handed_over_request out;
   out.from = context_.options().self;
@@ -81,14 +83,15 @@
   return out;
 }
 
-void request_table::act(active_request& r, const requests::hand_over& a)
+void request_table::perform(active_request& r, const requests::hand_over& a)
 {
-  offer(r.id, handed_over(r, a.state), handover_tries);
+  offer_to_peer(r.id, make_handover(r, a.state), handover_tries);
 }
 
-// Offers a request to one peer after another. A lost answer is asked again of the same peer: the
-// call is idempotent there, and two peers must not both have it.
-void request_table::offer(const std::string& id, const handed_over_request& handed, int tries_left)
+// Offers a request to one peer after another. An unanswered offer is repeated to the same peer,
+// where it is idempotent, because two peers must not both take the request.
+void request_table::offer_to_peer(const std::string& id, const handed_over_request& handed,
+                                  int tries_left)
 {
   const auto successor = choose_successor();
   const auto to = successor ? services_.members.peer_address_of(*successor) : std::nullopt;
@@ -119,28 +122,29 @@
           if (reply != nullptr && reply->accepted) {
             context_.counters().count("handovers_total", {{"result", "accepted"}});
             if (waiting->claim_nonce != 0) {
-              ended_.insert_or_assign(waiting->claim_nonce,
-                                      request_status{.state = request_state::in_flight,
-                                                     .caller_address = reply->caller_address});
+              ended_claims_.insert_or_assign(
+                  waiting->claim_nonce, request_status{.state = request_state::in_flight,
+                                                       .caller_address = reply->caller_address});
             }
             feed(*waiting, requests::handover_accepted{reply->caller_address});
             return;
           }
           context_.counters().count("handovers_total", {{"result", "refused"}});
           if (reply == nullptr) {
-            // The silent peer may have it: only an idempotent request may go on here.
+            // The peer that did not answer may have taken the request. Only an idempotent request
+            // may continue here.
             feed(*waiting, waiting->options.idempotent
                                ? requests::request_event(requests::handover_refused{})
                                : requests::request_event(requests::deadline_passed{}));
             return;
           }
-          offer(id, handed, tries_left - 1);
+          offer_to_peer(id, handed, tries_left - 1);
         });
   };
   (*ask)(handover_tries);
 }
 
-// Copies of kept answers go to a peer while there is time; callers find them by their keys.
+// Copies the kept answers to peers while there is time. Callers find them through the directory.
 void request_table::hand_over_answers()
 {
   for (const auto& entry : answers_.kept_answers()) {
@@ -159,13 +163,13 @@
     handed.state.tokens = entry.answer.tokens;
     handed.finish_reason = entry.answer.finish_reason;
     handed.keep_until = entry.until;
-    ++handing_;
+    ++pending_answer_handovers_;
     const auto key = entry.key;
     context_.call_peer(*to, std::move(handed), [this, key](const peer_response* response) {
-      --handing_;
+      --pending_answer_handovers_;
       const auto* reply = response == nullptr ? nullptr : std::get_if<hand_over_reply>(response);
       if (reply != nullptr && reply->accepted) {
-        services_.places.announce(key, reply->caller_address);
+        services_.directory.publish(key, reply->caller_address);
       }
     });
   }
@@ -178,7 +182,7 @@
                      std::holds_alternative<requests::answer_found>(
                          answers_.find({.workspace = handed.workspace, .key = handed.key}));
   if (known) {
-    return {.accepted = true, .caller_address = own}; // asked again
+    return {.accepted = true, .caller_address = own}; // repeated offer
   }
   if (draining_ || !services_.config.ready()) {
     return {};
@@ -187,7 +191,7 @@
     keep_handed_over(handed);
     return {.accepted = true, .caller_address = own};
   }
-  auto fresh = rebuild(handed);
+  auto fresh = rebuild_request(handed);
   if (fresh == nullptr) {
     return {};
   }
@@ -197,14 +201,14 @@
   if (r.claim_nonce != 0) {
     by_nonce_.emplace(r.claim_nonce, r.id);
   }
-  services_.places.announce(r.key, own);
+  services_.directory.publish(r.key, own);
   context_.counters().count("handed_over_requests_total");
-  r.deadline_timer = context_.timers().at(r.headers.deadline, [this, id = r.id] {
+  r.deadline_timer = context_.timers().schedule(r.headers.deadline, [this, id = r.id] {
     if (auto* late = find(id)) {
       feed(*late, requests::deadline_passed{});
     }
   });
-  // It was admitted where it came from; refusing it here would cut it off.
+  // The peer has admitted the request. Refusing it here would abort it.
   feed(r, requests::admission_granted{});
   return {.accepted = true, .caller_address = own};
 }
@@ -217,14 +221,15 @@
   kept.tokens = handed.state.tokens;
   kept.finish_reason = handed.finish_reason;
   const requests::answer_key key{.workspace = handed.workspace, .key = handed.key};
-  send_claiming_to_answer(key);
+  redirect_pending_claim(key);
   answers_.keep(key, handed.body_hash, std::move(kept), handed.keep_until);
-  services_.places.announce(key, to_string(context_.options().caller_address));
+  services_.directory.publish(key, to_string(context_.options().caller_address));
 }
 
-// A repeat of the key that still asks for its claim here would get no answer from an executor that
-// is gone, and its own end would overwrite the answer that has just come.
-void request_table::send_claiming_to_answer(const requests::answer_key& key)
+// Redirects a repeated submission of the key that still waits for its claim here to the answer that
+// was just received. Its claim would query an executor that is gone and get no answer, and its own
+// outcome would overwrite the answer.
+void request_table::redirect_pending_claim(const requests::answer_key& key)
 {
   const auto found = answers_.find(key);
   const auto* run = std::get_if<requests::run_joined>(&found);
@@ -241,8 +246,9 @@
   }
 }
 
-// The request as it was at the peer; null if it cannot be read, as from a newer daemon.
-request_table::request_ptr request_table::rebuild(const handed_over_request& handed)
+// Restores a request as it was at the peer. Returns null if it cannot be parsed, for example
+// because the peer runs a newer version.
+request_table::request_ptr request_table::rebuild_request(const handed_over_request& handed)
 {
   const auto now = context_.now();
   try {
@@ -282,10 +288,10 @@
       }
     } else {
       const auto parts = split_service_target(handed.message.target);
-      fresh->where.service = parts.service;
+      fresh->request_route.service = parts.service;
       fresh->service_target = parts.target;
     }
-    fresh->where.deadline = headers.deadline;
+    fresh->request_route.deadline = headers.deadline;
     return fresh;
   } catch (const error&) {
     return nullptr;
@@ -295,19 +301,19 @@
 request_status request_table::on_query(const request_query& query) const
 {
   if (query.nonce == 0) {
-    const auto place = services_.places.kept_place(query.key);
+    const auto place = services_.directory.stored_address(query.key);
     const auto state = place.empty() ? request_state::outcome_unknown : request_state::in_flight;
     return {.state = state, .caller_address = place};
   }
-  const auto ended = ended_.find(query.nonce);
-  if (ended != ended_.end()) {
+  const auto ended = ended_claims_.find(query.nonce);
+  if (ended != ended_claims_.end()) {
     return ended->second;
   }
   const auto own = to_string(context_.options().caller_address);
   if (by_nonce_.contains(query.nonce)) {
     return {.state = request_state::in_flight, .caller_address = own};
   }
-  if (services_.claims.never_ran(query.nonce)) {
+  if (services_.claims.was_never_dispatched(query.nonce)) {
     return {.state = request_state::not_run, .caller_address = own};
   }
   return {};
--- a/src/daemon/caller_side.cc
+++ b/src/daemon/caller_side.cc
@@ -38,7 +38,7 @@
 
   boost::asio::awaitable<bool> operator()(core::respond a) const
   {
-    co_await writer.send(std::move(a.whole));
+    co_await writer.send(std::move(a.response));
     co_return true;
   }
   boost::asio::awaitable<bool> operator()(core::begin_response a) const
--- a/src/daemon/endpoint_side.cc
+++ b/src/daemon/endpoint_side.cc
@@ -56,7 +56,7 @@
   boost::asio::co_spawn(thread_.context(), poll(a), boost::asio::detached);
 }
 
-void endpoint_side::take(const core::forget_address& a)
+void endpoint_side::take(const core::close_idle_connections& a)
 {
   client_.forget(a.address);
 }
--- a/src/daemon/platform_side.cc
+++ b/src/daemon/platform_side.cc
@@ -125,7 +125,7 @@
   core::cloud_answer answer{.call = a.call};
   try {
     const auto to = http::parse_socket_address(settings_.cloud_api);
-    answer.whole = co_await client_.call(to, std::move(a.message), a.deadline);
+    answer.response = co_await client_.call(to, std::move(a.message), a.deadline);
     answer.reached = true;
   } catch (const http::http_error&) {
     answer.reached = false;
--- a/src/peer/peer_side.cc
+++ b/src/peer/peer_side.cc
@@ -142,8 +142,8 @@
       reactor->Finish(stopping_status());
       return reactor;
     }
-    core::event received =
-        core::peer_asked{.reply = *reply, .message = decode(in), .bytes = in.ByteSizeLong()};
+    core::event received = core::peer_request_received{
+        .reply = *reply, .message = decode(in), .bytes = in.ByteSizeLong()};
     if (!core_->try_push(std::move(received)) && pending_.take(*reply).reactor != nullptr) {
       reactor->Finish({grpc::StatusCode::RESOURCE_EXHAUSTED, "the core's ring is full"});
     }
@@ -384,9 +384,9 @@
     encode(message, state->request);
     outgoing_.add({state, &state->context});
     auto done = [this, state, number = a.call](const grpc::Status& status) mutable {
-      core::event e = core::peer_failed{.call = number};
+      core::event e = core::peer_call_failed{.call = number};
       if (status.ok()) {
-        e = core::peer_answered{
+        e = core::peer_response_received{
             .call = number, .message = decode(state->reply), .bytes = state->reply.ByteSizeLong()};
       }
       // If the ring is full the answer is lost, which the core handles anyway: its own deadline for
--- a/test/core/answer_places_test.cc
+++ b/test/core/answer_places_test.cc
@@ -7,7 +7,7 @@
 
 using namespace std::chrono_literals;
 
-class AnswerPlacesTest : public testing::Test {
+class AnswerDirectoryTest : public testing::Test {
  protected:
   static daemon_core_options options()
   {
@@ -19,9 +19,9 @@
     return out;
   }
 
-  // A peer says hello, and is live from then on; callers reach it at `address`.
-  void meet(const std::string& id, const std::string& host,
-            const std::string& address = "10.0.0.2:80")
+  // Makes a peer live by a gossip message from it. Callers reach it at `address`.
+  void add_live_peer(const std::string& id, const std::string& host,
+                     const std::string& address = "10.0.0.2:80")
   {
     membership::member m;
     m.key = {.kind = membership::member_kind::daemon, .id = id};
@@ -34,7 +34,7 @@
     (void)context_.take_actions();
   }
 
-  // The place notes sent since the last call.
+  // Returns the place notes that were sent since the last call.
   std::vector<place_note> notes()
   {
     std::vector<place_note> out;
@@ -48,7 +48,7 @@
     return out;
   }
 
-  void pass(std::chrono::milliseconds time)
+  void advance(std::chrono::milliseconds time)
   {
     const auto then = context_.now();
     context_.set_now({.mono = then.mono + time, .wall = then.wall + time});
@@ -56,7 +56,7 @@
 
   place_note note_of(std::string address)
   {
-    return {.key = place_key_of(key_),
+    return {.key = directory_key_of(key_),
             .caller_address = std::move(address),
             .keep_until = context_.now().wall + 60s};
   }
@@ -65,87 +65,87 @@
   {
     return {.endpoint_leaving = [](const endpoint_id&, std::optional<wall_time>) {},
             .daemons_changed = [] {},
-            .self_leaving = [](std::optional<wall_time>) {},
-            .configuration_heard = [](const membership::gossiper::known_configuration&) {}};
+            .self_reclaimed = [](std::optional<wall_time>) {},
+            .peer_configuration_received = [](const membership::gossiper::known_configuration&) {}};
   }
 
   const std::string own_ = "10.0.0.1:80";
   const requests::answer_key key_{.workspace = workspace_id("hotel"), .key = "k"};
   core_context context_{options(), {mono_time{1h}, from_unix_ms(1'800'000'000'000)}};
   fleet fleet_{context_, silent()};
-  answer_places places_{context_, fleet_};
+  answer_directory directory_{context_, fleet_};
 };
 
-TEST_F(AnswerPlacesTest, KeepsTheLastPlaceThatItWasTold)
+TEST_F(AnswerDirectoryTest, StoresTheMostRecentlyPublishedAddress)
 {
-  places_.on_note(note_of("10.0.0.2:80"));
-  places_.on_note(note_of("10.0.0.3:80"));
-  EXPECT_EQ(places_.kept_place(place_key_of(key_)), "10.0.0.3:80");
+  directory_.on_note(note_of("10.0.0.2:80"));
+  directory_.on_note(note_of("10.0.0.3:80"));
+  EXPECT_EQ(directory_.stored_address(directory_key_of(key_)), "10.0.0.3:80");
 }
 
-TEST_F(AnswerPlacesTest, TellsTheSameKeyOfTwoWorkspacesApart)
+TEST_F(AnswerDirectoryTest, SeparatesEqualKeysOfDifferentWorkspaces)
 {
   const requests::answer_key other{.workspace = workspace_id("bank"), .key = "k"};
-  EXPECT_NE(place_key_of(key_), place_key_of(other));
+  EXPECT_NE(directory_key_of(key_), directory_key_of(other));
 }
 
-TEST_F(AnswerPlacesTest, ForgetsAPlaceAfterItsDeadline)
+TEST_F(AnswerDirectoryTest, DropsAnAddressAfterItExpires)
 {
-  places_.on_note(note_of("10.0.0.2:80"));
-  pass(61s);
+  directory_.on_note(note_of("10.0.0.2:80"));
+  advance(61s);
   const requests::answer_key other{.workspace = workspace_id("hotel"), .key = "other"};
-  places_.on_note({.key = place_key_of(other), .keep_until = context_.now().wall + 1s});
-  EXPECT_EQ(places_.kept_place(place_key_of(key_)), "");
+  directory_.on_note({.key = directory_key_of(other), .keep_until = context_.now().wall + 1s});
+  EXPECT_EQ(directory_.stored_address(directory_key_of(key_)), "");
 }
 
-TEST_F(AnswerPlacesTest, KeepsAPlaceThatWasToldAgainUntilItsLaterDeadline)
+TEST_F(AnswerDirectoryTest, KeepsARepublishedAddressUntilItsLaterExpiry)
 {
-  places_.on_note(note_of("10.0.0.2:80"));
-  pass(40s);
-  places_.on_note(note_of("10.0.0.2:80"));
-  pass(40s);
+  directory_.on_note(note_of("10.0.0.2:80"));
+  advance(40s);
+  directory_.on_note(note_of("10.0.0.2:80"));
+  advance(40s);
   const requests::answer_key other{.workspace = workspace_id("hotel"), .key = "other"};
-  places_.on_note({.key = place_key_of(other), .keep_until = context_.now().wall + 1s});
-  EXPECT_EQ(places_.kept_place(place_key_of(key_)), "10.0.0.2:80");
+  directory_.on_note({.key = directory_key_of(other), .keep_until = context_.now().wall + 1s});
+  EXPECT_EQ(directory_.stored_address(directory_key_of(key_)), "10.0.0.2:80");
 }
 
-TEST_F(AnswerPlacesTest, FindsAPlaceKeptHereAtOnce)
+TEST_F(AnswerDirectoryTest, FindsALocallyStoredAddressImmediately)
 {
-  meet("d1", "10.0.1.2");
-  places_.on_note(note_of("10.0.0.2:80"));
+  add_live_peer("d1", "10.0.1.2");
+  directory_.on_note(note_of("10.0.0.2:80"));
   std::string found;
-  places_.find(key_, [&](const std::string& address) { found = address; });
+  directory_.find(key_, [&](const std::string& address) { found = address; });
   EXPECT_EQ(found, "10.0.0.2:80");
 }
 
-TEST_F(AnswerPlacesTest, NeverSendsACallerToADaemonThatIsUnknown)
+TEST_F(AnswerDirectoryTest, DoesNotReturnTheAddressOfAnUnknownDaemon)
 {
-  places_.on_note(note_of("10.0.0.2:80"));
+  directory_.on_note(note_of("10.0.0.2:80"));
   std::string found = "not called";
-  places_.find(key_, [&](const std::string& address) { found = address; });
+  directory_.find(key_, [&](const std::string& address) { found = address; });
   EXPECT_EQ(found, "");
 }
 
-TEST_F(AnswerPlacesTest, FindsNothingWithoutPeers)
+TEST_F(AnswerDirectoryTest, FindsNothingWithoutPeers)
 {
   std::string found = "not called";
-  places_.find(key_, [&](const std::string& address) { found = address; });
+  directory_.find(key_, [&](const std::string& address) { found = address; });
   EXPECT_EQ(found, "");
 }
 
-TEST_F(AnswerPlacesTest, NeverSendsACallerBackToItself)
+TEST_F(AnswerDirectoryTest, DoesNotReturnItsOwnAddress)
 {
-  places_.on_note(note_of(own_));
+  directory_.on_note(note_of(own_));
   std::string found = "not called";
-  places_.find(key_, [&](const std::string& address) { found = address; });
+  directory_.find(key_, [&](const std::string& address) { found = address; });
   EXPECT_EQ(found, "");
 }
 
-TEST_F(AnswerPlacesTest, AsksAKeeperAndTakesItsWord)
+TEST_F(AnswerDirectoryTest, ReturnsTheAddressThatAReplicaReports)
 {
-  meet("d1", "10.0.1.2");
+  add_live_peer("d1", "10.0.1.2");
   std::string found;
-  places_.find(key_, [&](const std::string& address) { found = address; });
+  directory_.find(key_, [&](const std::string& address) { found = address; });
   for (const auto& a : context_.take_actions()) {
     const peer_response reply = request_status{request_state::in_flight, "10.0.0.2:80"};
     context_.on_peer_answer(std::get<send_to_peer>(std::get<peer_action>(a)).call, &reply);
@@ -153,32 +153,32 @@
   EXPECT_EQ(found, "10.0.0.2:80");
 }
 
-TEST_F(AnswerPlacesTest, TellsAKeeperThatComesLater)
+TEST_F(AnswerDirectoryTest, SendsANoteToAReplicaThatJoinsLater)
 {
-  places_.announce(key_, own_);
+  directory_.publish(key_, own_);
   ASSERT_TRUE(notes().empty());
-  meet("d1", "10.0.1.2");
-  places_.on_daemons_changed();
-  const auto told = notes();
-  ASSERT_EQ(told.size(), 1U);
-  EXPECT_EQ(told.front().caller_address, own_);
+  add_live_peer("d1", "10.0.1.2");
+  directory_.on_daemons_changed();
+  const auto sent = notes();
+  ASSERT_EQ(sent.size(), 1U);
+  EXPECT_EQ(sent.front().caller_address, own_);
 }
 
-TEST_F(AnswerPlacesTest, TellsNoKeeperTwice)
+TEST_F(AnswerDirectoryTest, SendsEachReplicaOnlyOneNote)
 {
-  meet("d1", "10.0.1.2");
-  places_.announce(key_, own_);
+  add_live_peer("d1", "10.0.1.2");
+  directory_.publish(key_, own_);
   ASSERT_EQ(notes().size(), 1U);
-  places_.on_daemons_changed();
+  directory_.on_daemons_changed();
   EXPECT_TRUE(notes().empty());
 }
 
-TEST_F(AnswerPlacesTest, TellsNoMoreOfAnAnswerThatWasHandedOver)
+TEST_F(AnswerDirectoryTest, SendsNoNotesForAnAnswerThatWasHandedOver)
 {
-  places_.announce(key_, own_);
-  places_.announce(key_, "10.0.0.2:80");
-  meet("d1", "10.0.1.2");
-  places_.on_daemons_changed();
+  directory_.publish(key_, own_);
+  directory_.publish(key_, "10.0.0.2:80");
+  add_live_peer("d1", "10.0.1.2");
+  directory_.on_daemons_changed();
   EXPECT_TRUE(notes().empty());
 }
 
