--- a/src/relay/attempt.cc
+++ b/src/relay/attempt.cc
@@ -14,24 +14,27 @@
 namespace asio = boost::asio;
 using gateway::attempt_outcome;
 
-// A repeatable call waits for so many times its latency objective, or its longest pause, before it
-// is sent elsewhere. Two would give up on endpoints that are merely busy.
-constexpr int patience_in_spans = 3;
-// After so many an endpoint counts as silent for the choice of others' endpoints.
-constexpr int overdue_in_spans = 2;
-// A whole answer is held in memory up to this size, in bytes.
-constexpr std::size_t answer_limit = std::size_t{8} << 20U;
+// A call that may be retried is cancelled after this many silence intervals without data and sent
+// to another endpoint. An interval is the route's latency objective before the first event, and its
+// longest pause between events afterwards. Two intervals would abandon endpoints that are only
+// busy.
+constexpr int cancel_after_intervals = 3;
+// After this many silence intervals without data the endpoint is reported as failing, so that other
+// calls avoid it.
+constexpr int unhealthy_after_intervals = 2;
+// Largest response body, in bytes, that is buffered if the response is not a stream.
+constexpr std::size_t max_response_body = std::size_t{8} << 20U;
 
-// What a prompt takes an ordinary engine until its first event: prompts differ by a factor of a
-// hundred, and those of a new endpoint are read whole, so times are compared for what was to be
-// read.
-constexpr double ordinary_first_seconds = 0.02;
-constexpr double ordinary_prefill_rate = 30'000; // tokens/s
-// Fewer events say nothing of how fast they come.
-constexpr std::uint64_t fewest_paced_events = 4;
+// Time to the first event on a typical model engine: a fixed part, and a part for each prompt token
+// to prefill. Prompt lengths differ by a factor of a hundred, and a new endpoint has no cached
+// prefixes, so measured times are divided by this estimate before versions are compared.
+constexpr double typical_first_event_seconds = 0.02;
+constexpr double typical_prefill_rate = 30'000; // tokens/s
+// With fewer events the time between events is not measured: it would mean nothing.
+constexpr std::uint64_t min_events_for_pace = 4;
 
-// Thrown inside an attempt to end it; never leaves it.
-class attempt_ended : public http::http_error {
+// Thrown inside an attempt to abort it. `run` catches it.
+class attempt_aborted : public http::http_error {
  public:
   using http_error::http_error;
 };
@@ -41,10 +44,11 @@
 attempt::attempt(asio::io_context& context, fleet_state& state, http::client& client,
                  admitted_call& call, gateway::pooled_endpoint endpoint)
     : state_(state), client_(client), call_(call), endpoint_(std::move(endpoint)),
-      silence_(context), sent_at_(std::chrono::steady_clock::now()), heard_at_(sent_at_)
+      silence_timer_(context), sent_at_(std::chrono::steady_clock::now()),
+      last_received_at_(sent_at_)
 {
   if (state_.has_rollouts()) {
-    state_.version_calls.on_sent(placed());
+    state_.version_calls.on_sent(placement());
   }
   result_.endpoint = endpoint_.process();
   result_.address = endpoint_.address;
@@ -59,80 +63,85 @@
                                           .priority = call_.priority,
                                           .deadline = call_.deadline,
                                           .prefix_source = endpoint_.prefix_source,
-                                          .resume_after = call_.last_event},
-                                         heard_at_);
-  count_repetition();
+                                          .resume_after = call_.last_event_id},
+                                         last_received_at_);
+  count_retry();
   http::stream_observer observer;
   observer.on_head = [this](const http::response& head) { on_head(head); };
   observer.write_bytes = [this, &writer](std::string_view bytes) {
-    return on_bytes(bytes, writer);
+    return on_body_bytes(bytes, writer);
   };
   observer.is_expected = [this](const http::response& head) {
     const auto id = adapter::decode_answer(head).request_id;
     return id.empty() || id == call_.description.request_id;
   };
   call_.exchange = std::make_shared<http::exchange>();
-  watch_silence();
+  arm_silence_timer();
   try {
     co_await client_.stream(endpoint_.address, std::move(message), call_.deadline,
                             std::move(observer), call_.exchange.get());
-    result_.how = streaming_ ? attempt_result::end::stream_ended : attempt_result::end::whole;
+    result_.end = streaming_ ? attempt_result::end_state::stream_complete
+                             : attempt_result::end_state::complete;
   } catch (const http::connect_error& e) {
-    result_.how = attempt_result::end::not_sent;
+    result_.end = attempt_result::end_state::not_sent;
     result_.reason = e.what();
   } catch (const http::exchange_timeout_error& e) {
     result_.timed_out = true;
     result_.reason = e.what();
-  } catch (const attempt_ended& e) {
+  } catch (const attempt_aborted& e) {
     result_.reason = e.what();
   } catch (const http::http_error& e) {
-    if (result_.reason.empty()) { // else the end is of this attempt's own making
+    if (result_.reason.empty()) { // otherwise this attempt ended the exchange itself
       result_.reason = e.what();
-      result_.broke_off = !result_.silent && !call_.caller_gone && !caller_failed_;
+      result_.closed_by_endpoint = !result_.silent && !call_.caller_gone && !caller_write_failed_;
     }
   }
-  silence_.disarm();
+  silence_timer_.disarm();
   call_.exchange.reset();
-  co_return conclude();
+  co_return finalize_result();
 }
 
-// What the endpoint's words and the way the exchange ended come to.
-attempt_result attempt::conclude()
+// Derives the result from the response and from the way the exchange ended.
+attempt_result attempt::finalize_result()
 {
   const auto now = std::chrono::steady_clock::now();
-  state_.endpoints.on_finished(endpoint_.work, events_, now);
-  result_.begun = begun_;
-  if (call_.caller_gone || caller_failed_) {
-    result_.how = attempt_result::end::caller_lost;
-    end_version({});
+  state_.endpoints.on_finished(endpoint_.work, event_count_, now);
+  result_.response_started = response_started_;
+  if (call_.caller_gone || caller_write_failed_) {
+    result_.end = attempt_result::end_state::caller_lost;
+    end_version_call({});
     return std::move(result_);
   }
-  using end = attempt_result::end;
-  if (result_.how == end::stream_ended && (gap_ || splitter_.pending_bytes() > 0 || events_ == 0)) {
-    result_.how = end::cut;
-    result_.broke_off = !gap_;
-    result_.reason = "the stream ended within an event, without one, or with one missing";
+  using end_state = attempt_result::end_state;
+  if (result_.end == end_state::stream_complete &&
+      (event_missing_ || splitter_.pending_bytes() > 0 || event_count_ == 0)) {
+    result_.end = end_state::interrupted;
+    result_.closed_by_endpoint = !event_missing_;
+    result_.reason =
+        "the stream ended inside an event, without any event, or with an event missing";
   }
-  if (result_.how == end::cut && gap_) {
+  if (result_.end == end_state::interrupted && event_missing_) {
     result_.reason = "an event is missing";
   }
-  const bool whole = result_.how == end::whole || result_.how == end::stream_ended;
-  if (result_.head_came && (whole || head_.not_run)) {
-    // A promise of not having run stands even if the rest of the answer was lost.
+  const bool is_complete =
+      result_.end == end_state::complete || result_.end == end_state::stream_complete;
+  if (result_.head_received && (is_complete || head_.not_run)) {
+    // The endpoint's statement that it has not run the call is valid even if the rest of the
+    // response was lost.
     result_.outcome = gateway::classify_answer(head_, call_.description.request_id);
   }
-  if (result_.how != end::not_sent && !whole) {
-    result_.how = end::cut;
+  if (result_.end != end_state::not_sent && !is_complete) {
+    result_.end = end_state::interrupted;
   }
-  if (result_.outcome == attempt_outcome::broken && whole) {
-    result_.how = end::cut; // whole, but not an answer that can be passed on
+  if (result_.outcome == attempt_outcome::broken && is_complete) {
+    result_.end = end_state::interrupted; // complete, but not a response that can be forwarded
   }
-  note_version(now);
-  note_health(now);
+  record_version_outcome(now);
+  update_endpoint_health(now);
   return std::move(result_);
 }
 
-gateway::call_attempt attempt::placed() const
+gateway::call_attempt attempt::placement() const
 {
   return {.service = call_.service,
           .route = call_.route->name,
@@ -140,90 +149,92 @@
           .endpoint = endpoint_.id};
 }
 
-void attempt::note_version(mono_time now)
+void attempt::record_version_outcome(mono_time now)
 {
   using seconds = std::chrono::duration<double>;
   gateway::call_outcome out{.failed = result_.outcome != attempt_outcome::answered};
-  // What ends because its endpoint leaves or is gone says nothing of the version.
-  const bool ran =
-      result_.how != attempt_result::end::not_sent && result_.outcome != attempt_outcome::not_run;
-  out.is_counted = ran && state_.endpoints.is_active(endpoint_.process());
-  const bool resumed = call_.history.sent > 0 && call_.last_event;
-  if (!out.failed && !resumed && begun_) {
-    const double work =
-        ordinary_first_seconds + std::max(0, endpoint_.work.prefill_tokens) / ordinary_prefill_rate;
+  // A call that ends because its endpoint leaves or is gone does not count against the version.
+  const bool was_run = result_.end != attempt_result::end_state::not_sent &&
+                       result_.outcome != attempt_outcome::not_run;
+  out.is_counted = was_run && state_.endpoints.is_active(endpoint_.process());
+  const bool resumed = call_.history.sent > 0 && call_.last_event_id;
+  if (!out.failed && !resumed && response_started_) {
+    const double expected_seconds =
+        typical_first_event_seconds +
+        std::max(0, endpoint_.work.prefill_tokens) / typical_prefill_rate;
     const auto first = first_event_at_.value_or(now);
-    out.first_event_seconds = seconds(first - sent_at_).count() / work;
-    if (first_event_at_ && events_ >= fewest_paced_events) {
-      out.event_gap_seconds = seconds(now - first).count() / static_cast<double>(events_ - 1);
+    out.first_event_seconds = seconds(first - sent_at_).count() / expected_seconds;
+    if (first_event_at_ && event_count_ >= min_events_for_pace) {
+      out.event_gap_seconds = seconds(now - first).count() / static_cast<double>(event_count_ - 1);
     }
   }
-  end_version(out);
+  end_version_call(out);
 }
 
-void attempt::end_version(const gateway::call_outcome& outcome)
+void attempt::end_version_call(const gateway::call_outcome& outcome)
 {
   if (state_.has_rollouts()) {
-    state_.version_calls.on_ended(placed(), outcome);
+    state_.version_calls.on_ended(placement(), outcome);
   }
 }
 
-// Tells the pool how the endpoint did.
-void attempt::note_health(mono_time now)
+// Reports the endpoint's success or failure to the endpoint pool.
+void attempt::update_endpoint_health(mono_time now)
 {
   if (state_.endpoints.has_restarted(endpoint_)) {
-    return; // it says nothing of the process that is there now
+    return; // the result is of the previous process, not of the current one
   }
   switch (result_.outcome) {
   case attempt_outcome::answered:
     state_.endpoints.on_success(endpoint_.id);
     break;
   case attempt_outcome::failed:
-    note_trouble(gateway::endpoint_failure::failed, now);
+    record_endpoint_failure(gateway::endpoint_failure::failed, now);
     break;
   case attempt_outcome::not_run:
-    break; // full, not ill
+    break; // the endpoint is full, not unhealthy
   case attempt_outcome::broken:
-    note_trouble(result_.how == attempt_result::end::not_sent
-                     ? gateway::endpoint_failure::unreachable
-                     : gateway::endpoint_failure::broken,
-                 now);
+    record_endpoint_failure(result_.end == attempt_result::end_state::not_sent
+                                ? gateway::endpoint_failure::unreachable
+                                : gateway::endpoint_failure::broken,
+                            now);
     break;
   }
 }
 
-void attempt::note_trouble(gateway::endpoint_failure kind, mono_time now)
+void attempt::record_endpoint_failure(gateway::endpoint_failure kind, mono_time now)
 {
   if (state_.endpoints.on_failure(endpoint_.id, kind, now)) {
     if (kind == gateway::endpoint_failure::unreachable) {
-      state_.announce_news(); // so that not each daemon has to find out by a time-out of its own
+      state_.announce_news(); // spares the other daemons a timeout each
     }
     state_.log.write(daemon::log_level::warn, "endpoint left out",
                      {{"endpoint", endpoint_.id.value()},
                       {"request", call_.description.request_id},
-                      {"reason", result_.reason.empty() ? "silent or failing" : result_.reason}});
+                      {"reason", result_.reason.empty() ? "no data in time, or a failed response"
+                                                        : result_.reason}});
   }
 }
 
 void attempt::on_head(const http::response& head)
 {
-  heard_at_ = std::chrono::steady_clock::now();
-  result_.head_came = true;
+  last_received_at_ = std::chrono::steady_clock::now();
+  result_.head_received = true;
   head_ = adapter::decode_answer(head);
   result_.answer = head;
   if (!head_.other_endpoint) {
-    note_statement();
+    apply_statement();
   }
   const auto outcome = gateway::classify_answer(head_, call_.description.request_id);
   streaming_ = head_.is_stream && http::status::is_success(head.status) &&
                outcome == attempt_outcome::answered;
   if (!streaming_ && (outcome == attempt_outcome::answered || outcome == attempt_outcome::failed)) {
-    note_begin();
+    on_response_started();
   }
 }
 
-// Takes in what the endpoint says of itself.
-void attempt::note_statement()
+// Applies what the endpoint states of itself: that it leaves, its request rate limit, a pause.
+void attempt::apply_statement()
 {
   result_.statement = head_.statement;
   const auto terms = gateway::validated_terms(head_.statement);
@@ -238,62 +249,62 @@
                       .terms = terms,
                       .sent_at = sent_at_,
                       .is_signed = head_.has_signature},
-                     heard_at_);
+                     last_received_at_);
 }
 
-asio::awaitable<void> attempt::on_bytes(std::string_view bytes, http::response_writer& writer)
+asio::awaitable<void> attempt::on_body_bytes(std::string_view bytes, http::response_writer& writer)
 {
-  heard_at_ = std::chrono::steady_clock::now();
+  last_received_at_ = std::chrono::steady_clock::now();
   if (streaming_) {
     auto events = splitter_.feed(bytes);
     if (!events.empty()) {
-      note_begin();
-      co_await pass_on(std::move(events), writer);
+      on_response_started();
+      co_await forward_events(std::move(events), writer);
     }
     co_return;
   }
-  if (result_.answer.body.size() + bytes.size() > answer_limit) {
-    throw attempt_ended("the answer is over the limit");
+  if (result_.answer.body.size() + bytes.size() > max_response_body) {
+    throw attempt_aborted("the response body is over the size limit");
   }
   result_.answer.body.append(bytes);
 }
 
-// Passes whole events on, once each and in order.
-asio::awaitable<void> attempt::pass_on(std::vector<gateway::stream_event> events,
-                                       http::response_writer& writer)
+// Forwards complete events, each of them once and in order.
+asio::awaitable<void> attempt::forward_events(std::vector<gateway::stream_event> events,
+                                              http::response_writer& writer)
 {
   std::string out;
   for (auto& e : events) {
-    ++events_;
-    if (e.id && call_.last_event && *e.id <= *call_.last_event) {
+    ++event_count_;
+    if (e.id && call_.last_event_id && *e.id <= *call_.last_event_id) {
       continue;
     }
-    if (e.id && call_.last_event && *e.id != *call_.last_event + 1) {
-      gap_ = true;
+    if (e.id && call_.last_event_id && *e.id != *call_.last_event_id + 1) {
+      event_missing_ = true;
       break;
     }
     if (e.id) {
-      call_.last_event = e.id;
+      call_.last_event_id = e.id;
     }
     out += e.bytes;
   }
   try {
-    if (!call_.answer_begun && !out.empty()) {
-      call_.answer_begun = true;
+    if (!call_.stream_started && !out.empty()) {
+      call_.stream_started = true;
       http::response head{.status = result_.answer.status, .fields = result_.answer.fields};
       co_await writer.start_stream(std::move(head));
     }
     co_await writer.write_chunk(out);
   } catch (const http::http_error& e) {
-    caller_failed_ = true;
+    caller_write_failed_ = true;
     throw;
   }
-  if (gap_) {
-    throw attempt_ended("an event is missing");
+  if (event_missing_) {
+    throw attempt_aborted("an event is missing");
   }
 }
 
-void attempt::count_repetition()
+void attempt::count_retry()
 {
   if (call_.history.sent == 0) {
     return;
@@ -301,67 +312,70 @@
   const auto& size = call_.description.size;
   state_.counters.count("repeated_prompt_tokens", {{"service", call_.service}},
                         size ? static_cast<std::uint64_t>(size->prompt) : 0);
-  if (call_.last_event) {
+  if (call_.last_event_id) {
     state_.counters.count("resumes", {{"route", call_.route->name}});
   }
 }
 
-// The endpoint works on the call now.
-void attempt::note_begin()
+// Called when the endpoint has begun to respond: records the time to the first event and counts the
+// call in its workspace's usage.
+void attempt::on_response_started()
 {
   const auto clocks = read_clocks();
-  if (!begun_) {
-    begun_ = true;
+  if (!response_started_) {
+    response_started_ = true;
     first_event_at_ = clocks.mono;
     state_.counters.observe("first_event_time", clocks.mono - call_.received_at,
                             {{"route", call_.route->name}});
   }
   state_.endpoints.on_first_token(endpoint_.work, clocks.mono);
-  if (!call_.counted && !call_.workspace.empty()) {
-    call_.counted = true;
+  if (!call_.usage_counted && !call_.workspace.empty()) {
+    call_.usage_counted = true;
     state_.usage.record_start(call_.workspace, state_.clock.now(clocks));
   }
 }
 
-// Whether the call could be sent elsewhere after this attempt.
-bool attempt::may_give_up() const
+// Whether the call may be sent to another endpoint after this attempt.
+bool attempt::can_retry_elsewhere() const
 {
   const auto& r = *call_.route;
   return r.repeatable() && call_.history.sent + 1 < r.max_attempts;
 }
 
-milliseconds attempt::expected_silence() const
+milliseconds attempt::silence_interval() const
 {
-  return streaming_ && events_ > 0 ? call_.route->max_event_gap : call_.route->target_latency;
+  return streaming_ && event_count_ > 0 ? call_.route->max_event_gap : call_.route->target_latency;
 }
 
-void attempt::watch_silence()
+void attempt::arm_silence_timer()
 {
-  // Looked at once for each span in which something was to be heard.
-  silence_.arm(std::chrono::steady_clock::now() + expected_silence(),
-               [this] { on_silence_check(); });
+  // Checks once per interval in which data is expected.
+  silence_timer_.arm(std::chrono::steady_clock::now() + silence_interval(),
+                     [this] { check_silence(); });
 }
 
-void attempt::on_silence_check()
+void attempt::check_silence()
 {
   const auto now = std::chrono::steady_clock::now();
   if (state_.endpoints.has_restarted(endpoint_)) {
-    // What ran there is lost, whether the call can go elsewhere or its caller has to be told.
+    // The work on the call is lost. Ends the attempt now: the call is retried elsewhere, or its
+    // caller gets an error.
     result_.silent = true;
-    result_.reason = "the endpoint has started anew";
+    result_.reason = "the endpoint has restarted";
     call_.exchange->cancel();
     return;
   }
-  if (heard_at_ + overdue_in_spans * expected_silence() <= now) {
-    // It goes on, since it may be running; but others are to go elsewhere meanwhile.
-    note_trouble(gateway::endpoint_failure::broken, now);
+  if (last_received_at_ + unhealthy_after_intervals * silence_interval() <= now) {
+    // The attempt continues, since the call may be running, but other calls avoid the endpoint.
+    record_endpoint_failure(gateway::endpoint_failure::broken, now);
   }
-  if (may_give_up() && heard_at_ + patience_in_spans * expected_silence() <= now) {
+  if (can_retry_elsewhere() &&
+      last_received_at_ + cancel_after_intervals * silence_interval() <= now) {
     result_.silent = true;
     call_.exchange->cancel();
     return;
   }
-  watch_silence();
+  arm_silence_timer();
 }
 
 } // namespace wisteriaflow::relay
--- a/src/relay/attempt.h
+++ b/src/relay/attempt.h
@@ -1,5 +1,8 @@
-// One sending of a call to one endpoint: reads the answer, judges it, and passes a stream's events
-// on as they come.
+// One attempt of a call: sends it to one endpoint, reads and classifies the response, and forwards
+// the events of a stream as they arrive.
+//
+//   attempt one(context, state, client, call, std::move(endpoint));
+//   const auto result = co_await one.run(writer);
 
 #ifndef WISTERIAFLOW_SRC_RELAY_ATTEMPT_H_
 #define WISTERIAFLOW_SRC_RELAY_ATTEMPT_H_
@@ -25,62 +28,64 @@
 
 namespace wisteriaflow::relay {
 
-// A call that was admitted, with what it has been through.
+// An admitted call and the state of its attempts so far.
 struct admitted_call {
   http::request received;
   gateway::call_description description;
   std::shared_ptr<const gateway::configuration_index> configuration; // keeps `route` alive
   const gateway::route* route = nullptr;
-  workspace_id workspace; // empty: none
+  workspace_id workspace; // empty on a public route without an API key, or without workspaces
   gateway::content_id content;
-  double quota_units = 0; // taken from the workspace's rate
+  double quota_units = 0; // charged to the workspace's quota
   int priority = 0;
-  std::string service; // drawn among the route's
+  std::string service; // picked by weight from the route's services
   mono_time received_at;
-  mono_time deadline; // of the caller and of the route, whichever is sooner
+  mono_time deadline; // the earlier of the caller's deadline and the route's timeout
 
   gateway::attempt_history history;
-  // An endpoint's own failure, whole. It is passed on unless a repeat does better.
-  std::optional<http::response> failure;
-  std::vector<endpoint_id> excluded; // endpoints that it was sent to
+  // A complete error response of an endpoint. It is forwarded unless a retry gets a better one.
+  std::optional<http::response> failure_response;
+  std::vector<endpoint_id> excluded; // endpoints of earlier attempts
   unsigned connect_failures = 0;
 
-  // The answer that has begun: a stream's head has been passed on.
-  bool answer_begun = false;
-  std::optional<std::uint64_t> last_event; // id of the last event passed on
-  bool counted = false;                    // in the usage of its workspace
+  // The head of a stream has been forwarded to the caller.
+  bool stream_started = false;
+  std::optional<std::uint64_t> last_event_id; // id of the last event that was forwarded
+  bool usage_counted = false;                 // the call is counted in its workspace's usage
 
   bool caller_gone = false;
-  std::shared_ptr<http::exchange> exchange; // of the attempt under way
+  std::shared_ptr<http::exchange> exchange; // of the current attempt
 };
 
 // How one attempt ended.
 struct attempt_result {
-  enum class end {
-    not_sent,     // no connection: not a byte left
-    whole,        // a whole answer that is not a stream
-    stream_ended, // a stream that ended properly
-    cut,          // broke off; `silent` says that the endpoint said nothing for too long
-    caller_lost,  // the caller has gone, or does not read
+  enum class end_state {
+    not_sent,        // no connection: nothing was sent
+    complete,        // a complete response that is not a stream
+    stream_complete, // a stream that ended with its last event
+    interrupted,     // incomplete; `silent` is set if this daemon cancelled it for lack of data
+    caller_lost,     // the caller disconnected or does not read
   };
 
-  end how = end::cut;
+  end_state end = end_state::interrupted;
   gateway::endpoint_process endpoint;
   http::socket_address address; // of the endpoint
-  // Whom the endpoint was told to copy the prompt's shared parts from.
+  // The endpoint that it was directed to copy the prompt's shared prefix from.
   std::optional<http::socket_address> prefix_source;
-  bool silent = false;
+  bool silent = false; // cancelled because the endpoint sent nothing or had restarted
   bool timed_out = false;
-  bool broke_off = false; // the endpoint ended the exchange, not this daemon
-  bool begun = false;     // events or a whole answer had come
-  std::string reason;     // of a failure
+  bool closed_by_endpoint = false; // the endpoint, not this daemon, ended the exchange
+  bool response_started = false;   // an event, or the head of a non-stream response, was received
+  std::string reason;              // why it failed; empty if it did not
   gateway::attempt_outcome outcome = gateway::attempt_outcome::broken;
-  bool head_came = false;
-  gateway::endpoint_statement statement; // of the endpoint, in that head
-  http::response answer; // head, and the body if it is whole; says nothing if no head came
+  bool head_received = false;
+  gateway::endpoint_statement statement; // what the endpoint stated of itself in the head
+  // The head, and the body of a response that is not a stream. Unset unless `head_received`.
+  http::response answer;
 };
 
-// Sends `call` to one endpoint. Lives for one call of `run`.
+// Sends `call` to one endpoint. An object runs one attempt: `run` must be called once only.
+// `context`, `state`, `client` and `call` must outlive it. Not thread-safe.
 class attempt {
  public:
   attempt(boost::asio::io_context& context, fleet_state& state, http::client& client,
@@ -90,46 +95,49 @@
   attempt& operator=(const attempt&) = delete;
   ~attempt() = default;
 
-  // Runs the attempt to its end. A stream's events go to `writer` on the way.
+  // Runs the attempt to its end and writes a stream's events to `writer` as they arrive. Reports
+  // how the endpoint did to the endpoint pool. Failures of the exchange are in the result.
   boost::asio::awaitable<attempt_result> run(http::response_writer& writer);
 
  private:
   void on_head(const http::response& head);
-  void note_statement();
-  boost::asio::awaitable<void> on_bytes(std::string_view bytes, http::response_writer& writer);
-  boost::asio::awaitable<void> pass_on(std::vector<gateway::stream_event> events,
-                                       http::response_writer& writer);
-  // Notes an endpoint that says nothing for too long, and ends the attempt if it can go elsewhere.
-  void watch_silence();
-  void on_silence_check();
-  [[nodiscard]] std::chrono::milliseconds expected_silence() const;
-  [[nodiscard]] bool may_give_up() const;
-  void note_health(mono_time now);
-  // Tells how the call fared on the endpoint's version.
-  void note_version(mono_time now);
-  void end_version(const gateway::call_outcome& outcome);
-  [[nodiscard]] gateway::call_attempt placed() const;
-  void note_trouble(gateway::endpoint_failure kind, mono_time now);
-  void note_begin();
-  // Counts what an attempt after the first costs.
-  void count_repetition();
-  attempt_result conclude();
+  void apply_statement();
+  boost::asio::awaitable<void> on_body_bytes(std::string_view bytes, http::response_writer& writer);
+  boost::asio::awaitable<void> forward_events(std::vector<gateway::stream_event> events,
+                                              http::response_writer& writer);
+  // Schedules check_silence() one silence_interval() from now.
+  void arm_silence_timer();
+  // Reports an endpoint that has sent nothing for too long, and cancels the attempt if the call can
+  // be retried at another endpoint.
+  void check_silence();
+  [[nodiscard]] std::chrono::milliseconds silence_interval() const;
+  [[nodiscard]] bool can_retry_elsewhere() const;
+  void update_endpoint_health(mono_time now);
+  // Records success and latencies for the version of the service that the endpoint runs.
+  void record_version_outcome(mono_time now);
+  void end_version_call(const gateway::call_outcome& outcome);
+  [[nodiscard]] gateway::call_attempt placement() const;
+  void record_endpoint_failure(gateway::endpoint_failure kind, mono_time now);
+  void on_response_started();
+  // Counts the prompt tokens that an attempt after the first sends again.
+  void count_retry();
+  attempt_result finalize_result();
 
   fleet_state& state_;
   http::client& client_;
   admitted_call& call_;
   gateway::pooled_endpoint endpoint_;
-  deadline_watch silence_;
+  deadline_timer silence_timer_;
   mono_time sent_at_;
-  mono_time heard_at_;
+  mono_time last_received_at_;
   std::optional<mono_time> first_event_at_;
   gateway::event_splitter splitter_;
   gateway::answer_head head_;
-  std::uint64_t events_ = 0;
-  bool begun_ = false; // the first event, or the head of a whole answer, has come
+  std::uint64_t event_count_ = 0;
+  bool response_started_ = false; // see attempt_result
   bool streaming_ = false;
-  bool gap_ = false; // an event was missing
-  bool caller_failed_ = false;
+  bool event_missing_ = false; // an event id was skipped
+  bool caller_write_failed_ = false;
   attempt_result result_;
 };
 
--- a/src/relay/call_log.cc
+++ b/src/relay/call_log.cc
@@ -19,20 +19,20 @@
 }
 
 template <typename value_type>
-void add_stated(log_fields& to, const char* name,
-                const std::optional<gateway::parsed_value<value_type>>& said)
+void add_statement_field(log_fields& to, const char* name,
+                         const std::optional<gateway::parsed_value<value_type>>& statement)
 {
-  if (said) {
-    to.emplace_back(name, said->text);
+  if (statement) {
+    to.emplace_back(name, statement->text);
   }
 }
 
-// What the endpoint said of itself, as it said it.
+// Adds what the endpoint stated of itself, as the original text.
 void add_statement(log_fields& to, const gateway::endpoint_statement& statement)
 {
-  add_stated(to, "said_leaving", statement.leaving);
-  add_stated(to, "said_request_rate", statement.request_rate);
-  add_stated(to, "said_pause_seconds", statement.pause);
+  add_statement_field(to, "said_leaving", statement.leaving);
+  add_statement_field(to, "said_request_rate", statement.request_rate);
+  add_statement_field(to, "said_pause_seconds", statement.pause);
 }
 
 } // namespace
@@ -77,35 +77,36 @@
                        {"status", std::to_string(why.status)},
                        {"reason", why.reason},
                        {"configuration", std::to_string(state_.configuration_version())}};
-  fields.insert(fields.end(), why.inputs.begin(), why.inputs.end());
+  fields.insert(fields.end(), why.log_details.begin(), why.log_details.end());
   state_.log.write(daemon::log_level::warn, "call refused", std::move(fields));
 }
 
 void call_log::on_attempt(const admitted_call& call, const attempt_result& result)
 {
-  const bool fine = result.outcome == attempt_outcome::answered;
+  const bool answered = result.outcome == attempt_outcome::answered;
   const auto elapsed =
       std::chrono::duration_cast<milliseconds>(std::chrono::steady_clock::now() - call.received_at);
-  state_.counters.count("attempts", {{"service", call.service}, {"fine", fine ? "yes" : "no"}});
-  log_fields fields = {{"request", call.description.request_id},
-                       {"content", to_string(call.content)},
-                       {"route", call.route->name},
-                       {"workspace", call.workspace.value()},
-                       {"endpoint", result.endpoint.id.value()},
-                       {"attempt", std::to_string(call.history.sent + 1)},
-                       {"since_arrival_ms", std::to_string(elapsed.count())},
-                       {"configuration", std::to_string(call.configuration->version())},
-                       {"status", result.head_came ? std::to_string(result.answer.status) : "none"},
-                       {"silent", result.silent ? "yes" : "no"},
-                       {"events", std::to_string(call.last_event.value_or(0))}};
+  state_.counters.count("attempts", {{"service", call.service}, {"fine", answered ? "yes" : "no"}});
+  log_fields fields = {
+      {"request", call.description.request_id},
+      {"content", to_string(call.content)},
+      {"route", call.route->name},
+      {"workspace", call.workspace.value()},
+      {"endpoint", result.endpoint.id.value()},
+      {"attempt", std::to_string(call.history.sent + 1)},
+      {"since_arrival_ms", std::to_string(elapsed.count())},
+      {"configuration", std::to_string(call.configuration->version())},
+      {"status", result.head_received ? std::to_string(result.answer.status) : "none"},
+      {"silent", result.silent ? "yes" : "no"},
+      {"events", std::to_string(call.last_event_id.value_or(0))}};
   if (result.prefix_source) {
     fields.emplace_back("prefix_source", to_string(*result.prefix_source));
   }
   add_statement(fields, result.statement);
   add_reason(fields, result);
-  if (result.how == attempt_result::end::caller_lost) {
+  if (result.end == attempt_result::end_state::caller_lost) {
     state_.log.write(daemon::log_level::info, "caller left", std::move(fields));
-  } else if (fine) {
+  } else if (answered) {
     state_.log.write(daemon::log_level::info, "attempt answered", std::move(fields));
   } else {
     state_.log.write(daemon::log_level::warn, "attempt failed", std::move(fields));
--- a/src/relay/call_log.h
+++ b/src/relay/call_log.h
@@ -1,5 +1,5 @@
-// What the log and the metrics say of a call: one line for each attempt, and one for each answer of
-// the gateway's own.
+// Log lines and metrics of calls: one line for each attempt, and one for each call that the gateway
+// answers with an error of its own.
 
 #ifndef WISTERIAFLOW_SRC_RELAY_CALL_LOG_H_
 #define WISTERIAFLOW_SRC_RELAY_CALL_LOG_H_
@@ -13,25 +13,25 @@
 
 namespace wisteriaflow::relay {
 
-// Why a call is refused that no endpoint got.
+// Why a call is refused without having been sent to an endpoint.
 struct call_refusal {
-  int status = 0;
-  std::string reason;
-  std::optional<mono_time> retry_at;
-  log_fields inputs = {}; // what decided it, for the log
+  int status = 0;                    // HTTP status of the answer
+  std::string reason;                // sent to the caller, logged, and a metric label
+  std::optional<mono_time> retry_at; // when the caller may retry; empty: the answer gives no time
+  log_fields log_details = {};       // the values that led to the refusal, for the log only
 };
 
-// Not thread-safe.
+// Writes the log lines and counts the metrics of calls. Not thread-safe.
 class call_log {
  public:
   explicit call_log(fleet_state& state) : state_(state) {}
 
   void on_refused(const http::request& received, const call_refusal& why);
   void on_attempt(const admitted_call& call, const attempt_result& result);
-  // An endpoint's answer is passed on.
+  // An endpoint's answer with `status` is forwarded to the caller.
   void on_answer(const admitted_call& call, int status);
-  // `status` is the answer's, or says how the answer that had begun ends. `why`: what stood in the
-  // way of a further attempt.
+  // The call ends without an endpoint's complete answer. `status` is the HTTP status that is sent,
+  // or "cut short" if a stream had begun. `why` tells what prevented a further attempt.
   void on_given_up(const admitted_call& call, const std::string& status,
                    const routing::no_endpoint& why, mono_time now);
 
--- a/src/relay/call_relay.cc
+++ b/src/relay/call_relay.cc
@@ -15,50 +15,50 @@
 namespace asio = boost::asio;
 using gateway::attempt_outcome;
 
-// Opening a connection to an endpoint takes a millisecond; one that takes this long is to an
-// endpoint that is away.
+// Opening a connection to an endpoint takes about 1 ms. An endpoint that has not accepted one
+// within this time is considered unreachable.
 constexpr milliseconds connect_timeout{250};
-// An endpoint that acknowledges nothing for so long has lost power or is cut off.
+// An endpoint whose TCP stack acknowledges nothing for this long has lost power or its network.
 constexpr milliseconds unacknowledged_timeout{1'500};
-constexpr milliseconds longest_idle_time{4'000};
-constexpr std::size_t idle_connections = 8;
-// Endpoints that cannot be connected to are passed over so often before the call is given up.
-constexpr unsigned most_connect_failures = 4;
-// When to come back to a daemon that knows no configuration or no endpoint yet: it reads both
-// within a few exchanges with the store or a peer.
-constexpr milliseconds retry_pause{250};
-// A stream that begins later than this after the order to end may not be over before the process
-// is killed; it is refused, to be sent to another daemon at once.
-constexpr milliseconds last_stream_start{2'500};
-constexpr milliseconds retry_elsewhere{20};
+constexpr milliseconds max_idle_time{4'000};
+constexpr std::size_t max_idle_connections = 8;
+// A call is ended after this many failed connections, each to another endpoint.
+constexpr unsigned max_connect_failures = 4;
+// Retry-After of a daemon that has no configuration or endpoint list yet. It reads both within a
+// few exchanges with the store or a peer.
+constexpr milliseconds not_ready_retry_delay{250};
+// A stream that begins later than this after the drain has begun may not end before the process is
+// killed. It is refused, so that the caller sends it to another daemon at once.
+constexpr milliseconds stream_cutoff_after_drain{2'500};
+constexpr milliseconds other_daemon_retry_delay{20};
 
 } // namespace
 
 call_relay::call_relay(asio::io_context& context, fleet_state& state, peer_sync& peers)
     : context_(context), state_(state), peers_(peers),
-      client_(context, {.idle_connections_per_address = idle_connections,
-                        .idle_timeout = longest_idle_time,
+      client_(context, {.idle_connections_per_address = max_idle_connections,
+                        .idle_timeout = max_idle_time,
                         .connect_timeout = connect_timeout,
                         .unacknowledged_timeout = unacknowledged_timeout,
                         .repeat_stale_get = false,
                         .only_stated_keep_alive = true}),
-      crashes_(context, state), log_(state), random_(state.seed())
+      crash_detector_(context, state), log_(state), random_(state.seed())
 {
 }
 
 asio::awaitable<void> call_relay::serve(http::request received, http::response_writer& writer)
 {
   ++open_calls_;
-  auto decided = admit(received, std::chrono::steady_clock::now());
-  if (const auto* why = std::get_if<call_refusal>(&decided)) {
+  auto decision = admit(received, std::chrono::steady_clock::now());
+  if (const auto* why = std::get_if<call_refusal>(&decision)) {
     co_await refuse(received, *why, writer);
     --open_calls_;
     co_return;
   }
-  auto call = std::make_shared<admitted_call>(std::move(std::get<admitted_call>(decided)));
-  const auto over_rate = co_await take_quota(*call);
-  if (over_rate) {
-    co_await refuse(received, *over_rate, writer);
+  auto call = std::make_shared<admitted_call>(std::move(std::get<admitted_call>(decision)));
+  const auto refusal = co_await take_quota(*call);
+  if (refusal) {
+    co_await refuse(received, *refusal, writer);
     --open_calls_;
     co_return;
   }
@@ -86,38 +86,39 @@
                      .configuration = state_.configuration(),
                      .received_at = now};
   if (!call.configuration || !state_.endpoints.has_list()) {
-    return call_refusal{http::status::unavailable, "no configuration yet", now + retry_pause};
+    return call_refusal{http::status::unavailable, "no configuration yet",
+                        now + not_ready_retry_delay};
   }
   call.route = call.configuration->match(call.description.host, call.description.path);
   if (call.route == nullptr) {
     return call_refusal{http::status::not_found, "no route", std::nullopt};
   }
   call.priority = call.route->priority;
-  if (auto why = find_workspace(call)) {
+  if (auto why = resolve_workspace(call)) {
     return *why;
   }
   if (received.body.size() > call.configuration->declared().max_body_bytes) {
     return call_refusal{http::status::payload_too_large, "body over the limit", std::nullopt};
   }
   call.content = gateway::content_of(call.workspace, received);
-  if (auto why = held_refusal(call)) {
+  if (auto why = check_hold(call)) {
     return *why;
   }
   const auto leaving = state_.leaving_since();
   const bool stream = call.route->kind == gateway::call_kind::stream;
-  if (leaving && stream && now > *leaving + last_stream_start) {
+  if (leaving && stream && now > *leaving + stream_cutoff_after_drain) {
     return call_refusal{http::status::unavailable, "this daemon is about to end",
-                        now + retry_elsewhere};
+                        now + other_daemon_retry_delay};
   }
   call.deadline = now + call.route->timeout;
   if (call.description.deadline) {
     call.deadline = std::min(call.deadline, *call.description.deadline);
   }
-  call.service = draw_service(*call.route);
+  call.service = pick_service(*call.route);
   return call;
 }
 
-std::optional<call_refusal> call_relay::find_workspace(admitted_call& call) const
+std::optional<call_refusal> call_relay::resolve_workspace(admitted_call& call) const
 {
   const auto& declared = call.configuration->declared();
   if (declared.workspaces.empty()) {
@@ -140,18 +141,18 @@
   return std::nullopt;
 }
 
-// The status is one after which callers stop. A hold outlasts every caller's deadline, so that one
-// which came back, as after 503, would only be refused again.
-std::optional<call_refusal> call_relay::held_refusal(const admitted_call& call)
+// The status is one that callers do not retry. A hold outlasts every caller's deadline, so that a
+// retry, as after 503, would only be refused again.
+std::optional<call_refusal> call_relay::check_hold(const admitted_call& call)
 {
-  const auto hold = crashes_.hold_of(call);
+  const auto hold = crash_detector_.active_hold(call);
   if (!hold) {
     return std::nullopt;
   }
   return call_refusal{.status = http::status::bad_request,
                       .reason = "not run: requests like it have ended endpoints",
                       .retry_at = std::nullopt,
-                      .inputs = fields_of(call.content, *hold)};
+                      .log_details = hold_log_fields(call.content, *hold)};
 }
 
 asio::awaitable<std::optional<call_refusal>> call_relay::take_quota(admitted_call& call)
@@ -159,36 +160,37 @@
   if (call.workspace.empty()) {
     co_return std::nullopt;
   }
-  const auto decided = co_await peers_.admit(call.workspace, call.quota_units);
-  const bool admitted = decided.outcome == gateway::quota_outcome::admitted;
+  const auto decision = co_await peers_.admit(call.workspace, call.quota_units);
+  const bool admitted = decision.outcome == gateway::quota_outcome::admitted;
   state_.counters.count(
       "quota_units", {{"workspace", call.workspace.value()}, {"admitted", admitted ? "yes" : "no"}},
       static_cast<std::uint64_t>(call.quota_units));
   if (admitted) {
     co_return std::nullopt;
   }
-  co_return call_refusal{.status = http::status::too_many_requests,
-                         .reason = "workspace over its rate",
-                         .retry_at = decided.retry_at,
-                         .inputs = {{"workspace", call.workspace.value()},
-                                    {"content", to_string(call.content)},
-                                    {"units", std::to_string(call.quota_units)},
-                                    {"daemons_counted", std::to_string(state_.peers.running_count(
-                                                            call.received_at))}}};
+  co_return call_refusal{
+      .status = http::status::too_many_requests,
+      .reason = "workspace over its rate",
+      .retry_at = decision.retry_at,
+      .log_details = {
+          {"workspace", call.workspace.value()},
+          {"content", to_string(call.content)},
+          {"units", std::to_string(call.quota_units)},
+          {"daemons_counted", std::to_string(state_.peers.running_count(call.received_at))}}};
 }
 
-const std::string& call_relay::draw_service(const gateway::route& r)
+const std::string& call_relay::pick_service(const gateway::route& r)
 {
   std::uint64_t total = 0;
   for (const auto& s : r.services) {
     total += s.weight;
   }
-  std::uint64_t drawn = total == 0 ? 0 : random_() % total;
+  std::uint64_t pick = total == 0 ? 0 : random_() % total;
   for (const auto& s : r.services) {
-    if (drawn < s.weight) {
+    if (pick < s.weight) {
       return s.service;
     }
-    drawn -= s.weight;
+    pick -= s.weight;
   }
   return r.services.front().service;
 }
@@ -205,12 +207,12 @@
     }
   });
   try {
-    bool again = true;
-    while (again) {
-      again = co_await try_endpoint(*call, writer);
+    bool needs_retry = true;
+    while (needs_retry) {
+      needs_retry = co_await try_endpoint(*call, writer);
     }
   } catch (const http::http_error& e) {
-    // The answer could not be written: the caller has gone or does not read.
+    // The answer could not be written: the caller disconnected or does not read.
     state_.counters.count("callers_gone");
     writer.abort();
   }
@@ -224,14 +226,14 @@
     writer.abort();
     co_return false;
   }
-  if (const auto why = held_refusal(call)) {
-    co_await end_held(call, *why, writer);
+  if (const auto why = check_hold(call)) {
+    co_await end_held_call(call, *why, writer);
     co_return false;
   }
-  const auto trial = crashes_.begin(call);
-  auto choice = choose(call);
+  const auto hold_probe = crash_detector_.begin_hold_probe(call);
+  auto choice = choose_endpoint(call);
   if (const auto* none = std::get_if<routing::no_endpoint>(&choice)) {
-    co_await give_up(call, writer, *none);
+    co_await fail_call(call, writer, *none);
     co_return false;
   }
   auto& endpoint = std::get<gateway::pooled_endpoint>(choice);
@@ -239,95 +241,97 @@
   attempt one(context_, state_, client_, call, std::move(endpoint));
   auto result = co_await one.run(writer);
   log_.on_attempt(call, result);
-  co_await crashes_.on_attempt(call, result);
-  const bool again = co_await conclude(call, result, writer);
-  co_return again;
+  co_await crash_detector_.on_attempt(call, result);
+  const bool needs_retry = co_await handle_result(call, result, writer);
+  co_return needs_retry;
 }
 
-asio::awaitable<bool> call_relay::conclude(admitted_call& call, attempt_result& last,
-                                           http::response_writer& writer)
+asio::awaitable<bool> call_relay::handle_result(admitted_call& call, attempt_result& last,
+                                                http::response_writer& writer)
 {
-  if (last.how == attempt_result::end::caller_lost) {
+  if (last.end == attempt_result::end_state::caller_lost) {
     state_.counters.count("callers_gone");
     writer.abort();
     co_return false;
   }
   const bool in_time = std::chrono::steady_clock::now() < call.deadline;
-  if (last.how == attempt_result::end::not_sent) {
-    if (++call.connect_failures < most_connect_failures && in_time) {
+  if (last.end == attempt_result::end_state::not_sent) {
+    if (++call.connect_failures < max_connect_failures && in_time) {
       co_return true;
     }
-    co_await give_up(call, writer);
+    co_await fail_call(call, writer);
     co_return false;
   }
   call.history = gateway::record_attempt(call.history, last.outcome);
   call.history.timed_out = last.timed_out;
-  if (in_time && may_repeat(call, last)) {
-    if (last.how == attempt_result::end::whole && last.outcome == attempt_outcome::failed) {
-      call.failure = std::move(last.answer);
+  if (in_time && may_retry(call, last)) {
+    if (last.end == attempt_result::end_state::complete &&
+        last.outcome == attempt_outcome::failed) {
+      call.failure_response = std::move(last.answer);
     }
     co_return true;
   }
-  co_await finish(call, last, writer);
+  co_await send_final_answer(call, last, writer);
   co_return false;
 }
 
-asio::awaitable<void> call_relay::end_held(admitted_call& call, const call_refusal& why,
-                                           http::response_writer& writer)
+asio::awaitable<void> call_relay::end_held_call(admitted_call& call, const call_refusal& why,
+                                                http::response_writer& writer)
 {
   if (call.history.may_have_run) {
-    co_await give_up(call, writer);
+    co_await fail_call(call, writer);
     co_return;
   }
   state_.quota.refund(call.workspace, call.quota_units, std::chrono::steady_clock::now());
   co_await refuse(call.received, why, writer);
 }
 
-bool call_relay::may_repeat(const admitted_call& call, const attempt_result& last)
+bool call_relay::may_retry(const admitted_call& call, const attempt_result& last)
 {
   if (last.outcome == attempt_outcome::answered || !gateway::may_retry(*call.route, call.history)) {
     return false;
   }
-  // A stream that has begun can only go on where it stopped.
-  if (call.answer_begun && !call.last_event) {
+  // A stream that has begun can only be resumed after its last event.
+  if (call.stream_started && !call.last_event_id) {
     return false;
   }
   return state_.retries.take(call.service, std::chrono::steady_clock::now());
 }
 
-// Passes the last attempt's answer on, or ends the call with an answer of the gateway's own.
-asio::awaitable<void> call_relay::finish(admitted_call& call, attempt_result& last,
-                                         http::response_writer& writer)
+// Forwards the last attempt's answer, or ends the call with an error of the gateway.
+asio::awaitable<void> call_relay::send_final_answer(admitted_call& call, attempt_result& last,
+                                                    http::response_writer& writer)
 {
-  if (last.how == attempt_result::end::stream_ended && call.answer_begun) {
+  if (last.end == attempt_result::end_state::stream_complete && call.stream_started) {
     log_.on_answer(call, last.answer.status);
     co_await writer.finish_stream();
     co_return;
   }
-  const bool own_answer =
-      last.how == attempt_result::end::whole &&
+  const bool is_complete =
+      last.end == attempt_result::end_state::complete &&
       (last.outcome == attempt_outcome::answered || last.outcome == attempt_outcome::failed);
-  if (own_answer && !call.answer_begun) {
+  if (is_complete && !call.stream_started) {
     log_.on_answer(call, last.answer.status);
     co_await writer.send(std::move(last.answer));
     co_return;
   }
-  co_await give_up(call, writer);
+  co_await fail_call(call, writer);
 }
 
-asio::awaitable<void> call_relay::give_up(admitted_call& call, http::response_writer& writer,
-                                          routing::no_endpoint why)
+asio::awaitable<void> call_relay::fail_call(admitted_call& call, http::response_writer& writer,
+                                            routing::no_endpoint why)
 {
-  if (call.failure && !call.answer_begun) {
-    log_.on_answer(call, call.failure->status);
-    co_await writer.send(std::move(*call.failure));
+  if (call.failure_response && !call.stream_started) {
+    log_.on_answer(call, call.failure_response->status);
+    co_await writer.send(std::move(*call.failure_response));
     co_return;
   }
   const auto now = std::chrono::steady_clock::now();
   const int status = gateway::final_status(call.history);
-  log_.on_given_up(call, call.answer_begun ? "cut short" : std::to_string(status), why, now);
-  if (call.answer_begun) {
-    // The caller must see that the answer is not whole.
+  log_.on_given_up(call, call.stream_started ? "cut short" : std::to_string(status), why, now);
+  if (call.stream_started) {
+    // Closes the connection without an end of the stream: the caller must see that the answer is
+    // incomplete.
     writer.abort();
     co_return;
   }
@@ -343,40 +347,42 @@
   co_await writer.send(std::move(out));
 }
 
-gateway::pool_choice call_relay::choose(const admitted_call& call)
+gateway::pool_choice call_relay::choose_endpoint(const admitted_call& call)
 {
   const auto now = std::chrono::steady_clock::now();
   if (call.history.sent == 0 && call.connect_failures == 0) {
     state_.retries.on_call(call.service, now);
   }
   const auto& d = call.description;
-  gateway::selection_criteria wish{.service = call.service,
-                                   .prompt = d.prompt,
-                                   .size = d.size,
-                                   .target = call.received_at + call.route->target_latency,
-                                   .deadline = call.deadline,
-                                   .excluded = call.excluded,
-                                   .may_be_refused = !call.history.may_have_run};
-  return choose_version(call, wish, now);
+  gateway::selection_criteria criteria{.service = call.service,
+                                       .prompt = d.prompt,
+                                       .size = d.size,
+                                       .target = call.received_at + call.route->target_latency,
+                                       .deadline = call.deadline,
+                                       .excluded = call.excluded,
+                                       .may_be_refused = !call.history.may_have_run};
+  return choose_endpoint_by_version(call, criteria, now);
 }
 
-gateway::pool_choice call_relay::choose_version(const admitted_call& call,
-                                                gateway::selection_criteria& wish, mono_time now)
+gateway::pool_choice call_relay::choose_endpoint_by_version(const admitted_call& call,
+                                                            gateway::selection_criteria& criteria,
+                                                            mono_time now)
 {
   using side = gateway::version_selection::subset;
   if (!state_.version_calls.is_open(call.service)) {
-    return state_.endpoints.choose(wish, now);
+    return state_.endpoints.choose(criteria, now);
   }
   const auto key = gateway::split_prompt(call.description.prompt).shared_key;
-  const bool is_repeat = call.history.sent > 0 || call.connect_failures > 0;
-  wish.lane = state_.version_calls.select(
+  const bool is_retry = call.history.sent > 0 || call.connect_failures > 0;
+  criteria.lane = state_.version_calls.select(
       {.service = call.service, .route = call.route->name, .affinity_key = key.value_or(random_())},
-      is_repeat, state_.fleet_time());
-  auto choice = state_.endpoints.choose(wish, now);
-  const bool has_other = wish.lane.endpoints == side::trial || wish.lane.endpoints == side::target;
+      is_retry, state_.fleet_time());
+  auto choice = state_.endpoints.choose(criteria, now);
+  const bool has_other =
+      criteria.lane.endpoints == side::trial || criteria.lane.endpoints == side::target;
   if (has_other && std::holds_alternative<routing::no_endpoint>(choice)) {
-    wish.lane.endpoints = side::baseline; // its endpoints are there until the order has succeeded
-    choice = state_.endpoints.choose(wish, now);
+    criteria.lane.endpoints = side::baseline; // it keeps endpoints until the rollout has succeeded
+    choice = state_.endpoints.choose(criteria, now);
   }
   return choice;
 }
--- a/src/relay/call_relay.h
+++ b/src/relay/call_relay.h
@@ -1,5 +1,8 @@
-// Answers callers: admits a call, sends it to an endpoint, passes the answer on, and goes on
-// elsewhere where that is allowed.
+// Answers callers: admits a call, sends it to an endpoint, forwards the answer, and retries at
+// another endpoint where the route and the retry budget allow it.
+//
+//   call_relay relay(context, state, peers);
+//   co_await relay.serve(std::move(request), writer);
 
 #ifndef WISTERIAFLOW_SRC_RELAY_CALL_RELAY_H_
 #define WISTERIAFLOW_SRC_RELAY_CALL_RELAY_H_
@@ -26,57 +29,65 @@
 
 namespace wisteriaflow::relay {
 
-// Not thread-safe.
+// Serves the calls of one gateway daemon. Not thread-safe: used on the context's thread.
 class call_relay {
  public:
   call_relay(boost::asio::io_context& context, fleet_state& state, peer_sync& peers);
 
-  // Answers one call of a caller.
+  // Answers one call. Errors of the exchange with the caller are counted, not thrown.
   boost::asio::awaitable<void> serve(http::request received, http::response_writer& writer);
 
-  // Calls that have no final answer yet.
+  // Number of calls without a final answer.
   [[nodiscard]] std::size_t open_calls() const { return open_calls_; }
 
+  // Number of connections opened to endpoints since the start.
   [[nodiscard]] std::uint64_t connections_opened() const { return client_.connections_opened(); }
 
  private:
   using admission = std::variant<admitted_call, call_refusal>;
 
-  // Everything but the workspace's rate.
+  // Validates the call and makes every admission decision but that on the workspace's quota.
   admission admit(const http::request& received, mono_time now);
-  std::optional<call_refusal> find_workspace(admitted_call& call) const;
-  // Why a call is refused whose like have ended endpoints.
-  std::optional<call_refusal> held_refusal(const admitted_call& call);
+  // Sets the call's workspace, priority and quota units by its API key.
+  std::optional<call_refusal> resolve_workspace(admitted_call& call) const;
+  // The refusal of a call whose content is held because it crashed endpoints; nothing if it is not.
+  std::optional<call_refusal> check_hold(const admitted_call& call);
+  // Charges the call to its workspace's quota. Returns a refusal if the quota is used up.
   boost::asio::awaitable<std::optional<call_refusal>> take_quota(admitted_call& call);
   boost::asio::awaitable<void> refuse(const http::request& received, call_refusal why,
                                       http::response_writer& writer);
   boost::asio::awaitable<void> relay(std::shared_ptr<admitted_call> call,
                                      http::response_writer& writer);
-  // Sends the call to one endpoint, or ends it. True if it is to be sent to another one.
+  // Makes one attempt, or ends the call. Returns whether another attempt must follow.
   boost::asio::awaitable<bool> try_endpoint(admitted_call& call, http::response_writer& writer);
-  // Ends the call by its last attempt, unless it is to be sent to another endpoint: then true.
-  boost::asio::awaitable<bool> conclude(admitted_call& call, attempt_result& last,
-                                        http::response_writer& writer);
-  // Ends a call whose content has come to be held since it was admitted.
-  boost::asio::awaitable<void> end_held(admitted_call& call, const call_refusal& why,
-                                        http::response_writer& writer);
-  boost::asio::awaitable<void> finish(admitted_call& call, attempt_result& last,
-                                      http::response_writer& writer);
-  // `why`: what stood in the way of a further attempt, if it was that.
-  boost::asio::awaitable<void> give_up(admitted_call& call, http::response_writer& writer,
-                                       routing::no_endpoint why = {});
-  gateway::pool_choice choose(const admitted_call& call);
-  // Among the endpoints of the version that the call goes to while a roll-out is under way.
-  gateway::pool_choice choose_version(const admitted_call& call, gateway::selection_criteria& wish,
-                                      mono_time now);
-  const std::string& draw_service(const gateway::route& r);
-  bool may_repeat(const admitted_call& call, const attempt_result& last);
+  // Ends the call with the result of its last attempt, or returns true if another attempt must
+  // follow.
+  boost::asio::awaitable<bool> handle_result(admitted_call& call, attempt_result& last,
+                                             http::response_writer& writer);
+  // Ends a call whose content was put on hold after the call had been admitted.
+  boost::asio::awaitable<void> end_held_call(admitted_call& call, const call_refusal& why,
+                                             http::response_writer& writer);
+  boost::asio::awaitable<void> send_final_answer(admitted_call& call, attempt_result& last,
+                                                 http::response_writer& writer);
+  // Ends the call with an earlier error response of an endpoint, or with an error of the gateway.
+  // `why` tells why no endpoint could be chosen, if that is the cause.
+  boost::asio::awaitable<void> fail_call(admitted_call& call, http::response_writer& writer,
+                                         routing::no_endpoint why = {});
+  gateway::pool_choice choose_endpoint(const admitted_call& call);
+  // Chooses among the endpoints of the version that the call is assigned to during a rollout.
+  gateway::pool_choice choose_endpoint_by_version(const admitted_call& call,
+                                                  gateway::selection_criteria& criteria,
+                                                  mono_time now);
+  // Picks one of the route's services at random by weight.
+  const std::string& pick_service(const gateway::route& r);
+  // Whether the call may be sent again. Takes a retry from the service's budget if so.
+  bool may_retry(const admitted_call& call, const attempt_result& last);
 
   boost::asio::io_context& context_;
   fleet_state& state_;
   peer_sync& peers_;
   http::client client_;
-  crash_watch crashes_;
+  crash_detector crash_detector_;
   call_log log_;
   std::mt19937_64 random_;
   std::size_t open_calls_ = 0;
--- a/src/relay/crash_store.cc
+++ b/src/relay/crash_store.cc
@@ -21,13 +21,14 @@
 namespace asio = boost::asio;
 
 constexpr std::string_view hold_kind = "gateway-crash-holds";
-// A hold is in the store this long after it began, and the time that a write takes.
-constexpr milliseconds check_period{200};
-// While peers are silent, which may be alive on the other side of a cut, holds of theirs come by
-// way of the store alone. The leads read it so often, the others at a rate of the fleet.
-constexpr milliseconds lead_read_period{1'000};
-constexpr milliseconds longest_read_period{30'000};
-constexpr double reads_per_second = 8; // of the fleet without its leads
+// A new hold is in the store after this time, plus the time that a write takes.
+constexpr milliseconds poll_period{200};
+// Silent peers may be alive on the other side of a network partition. Their holds then arrive
+// through the store only. Coordinators read it with this period, the other daemons at a rate that
+// is limited for the whole fleet.
+constexpr milliseconds coordinator_read_period{1'000};
+constexpr milliseconds max_read_period{30'000};
+constexpr double reads_per_second = 8; // all daemons but the coordinators together
 
 } // namespace
 
@@ -40,50 +41,50 @@
 {
   for (unsigned failures = 0;;) {
     const auto now = std::chrono::steady_clock::now();
-    bool done = true;
+    bool succeeded = true;
     if (is_read_due(now)) {
-      done = co_await read();
+      succeeded = co_await read_holds();
     }
-    // Who leads is worked out from all live peers, so it is asked only when it matters.
-    if (done && has_work() && state_.leads(now)) {
-      done = co_await write_holds();
-      done = done && co_await remove_needless();
+    // The coordinators are computed from all live peers, so this is checked last.
+    if (succeeded && has_pending_writes() && state_.leads(now)) {
+      succeeded = co_await write_holds();
+      succeeded = succeeded && co_await remove_expired_holds();
     }
-    failures = done ? 0 : failures + 1;
-    co_await pause(done ? check_period : store_.backoff(failures));
+    failures = succeeded ? 0 : failures + 1;
+    co_await async_sleep(succeeded ? poll_period : store_.backoff(failures));
   }
 }
 
 bool crash_store::is_read_due(mono_time now) const
 {
-  const bool all_heard = state_.peers.running_count(now) == state_.peers.live(now).size() + 1;
-  return !was_read_ || (!all_heard && next_read_ <= now);
+  const bool all_peers_heard = state_.peers.running_count(now) == state_.peers.live(now).size() + 1;
+  return !initial_read_done_ || (!all_peers_heard && next_read_at_ <= now);
 }
 
-bool crash_store::has_work()
+bool crash_store::has_pending_writes()
 {
-  return !stored_.empty() || !state_.crashes.holds().empty();
+  return !stored_crash_counts_.empty() || !state_.crashes.holds().empty();
 }
 
-asio::awaitable<bool> crash_store::read()
+asio::awaitable<bool> crash_store::read_holds()
 {
-  const auto all = co_await list_objects(store_, state_, hold_kind, adapter::list_age::current);
+  const auto listing = co_await list_objects(store_, state_, hold_kind, adapter::list_age::current);
   const auto now = std::chrono::steady_clock::now();
-  const auto period = state_.leads(now) ? lead_read_period
+  const auto period = state_.leads(now) ? coordinator_read_period
                                         : std::clamp(state_.call_period(reads_per_second),
-                                                     lead_read_period, longest_read_period);
-  next_read_ = now + period;
-  was_read_ = was_read_ || all.whole;
-  for (const auto& item : all.items) {
-    const auto ended = take(item.name, item.spec);
+                                                     coordinator_read_period, max_read_period);
+  next_read_at_ = now + period;
+  initial_read_done_ = initial_read_done_ || listing.whole;
+  for (const auto& item : listing.items) {
+    const auto crash_count = merge(item.name, item.spec);
     if (const auto content = gateway::parse_content_id(item.name)) {
-      stored_[*content] = ended;
+      stored_crash_counts_[*content] = crash_count;
     }
   }
-  co_return all.whole;
+  co_return listing.whole;
 }
 
-std::size_t crash_store::take(const std::string& name, const boost::json::value& spec)
+std::size_t crash_store::merge(const std::string& name, const boost::json::value& spec)
 {
   try {
     const auto news = gateway::decode_crash_report(spec);
@@ -100,16 +101,16 @@
 {
   const auto holds = state_.crashes.holds();
   for (const auto& [content, hold] : holds) {
-    const auto it = stored_.find(content);
-    const bool is_stored = it != stored_.end() && it->second >= hold.crashed.size();
-    if (!is_stored && !co_await write(content, hold.crashed.size())) {
+    const auto it = stored_crash_counts_.find(content);
+    const bool is_stored = it != stored_crash_counts_.end() && it->second >= hold.crashed.size();
+    if (!is_stored && !co_await write_hold(content, hold.crashed.size())) {
       co_return false;
     }
   }
   co_return true;
 }
 
-asio::awaitable<bool> crash_store::write(gateway::content_id content, std::size_t ended)
+asio::awaitable<bool> crash_store::write_hold(gateway::content_id content, std::size_t crash_count)
 {
   const auto name = to_string(content);
   const auto spec = encode_crash_report(state_.crashes.evidence_of(content));
@@ -118,8 +119,8 @@
   if (reply.result == adapter::store_result::conflict) {
     try {
       const auto present = adapter::decode_object(reply.body);
-      if (take(name, present.spec) >= ended) {
-        stored_[content] = ended; // another lead has written it
+      if (merge(name, present.spec) >= crash_count) {
+        stored_crash_counts_[content] = crash_count; // another coordinator has written it
         co_return true;
       }
       auto replace = adapter::replace_call(hold_kind, name, spec, present.revision);
@@ -133,30 +134,31 @@
   if (reply.result != adapter::store_result::done) {
     co_return false;
   }
-  stored_[content] = ended;
+  stored_crash_counts_[content] = crash_count;
   state_.log.write(daemon::log_level::info, "hold stored",
-                   {{"content", name}, {"endpoints", std::to_string(ended)}});
+                   {{"content", name}, {"endpoints", std::to_string(crash_count)}});
   co_return true;
 }
 
-// What nothing speaks against any more, since it is too long ago or the content was answered.
-asio::awaitable<bool> crash_store::remove_needless()
+// Removes the objects of contents that are no longer suspected: their crashes have expired, or an
+// endpoint has answered the content.
+asio::awaitable<bool> crash_store::remove_expired_holds()
 {
-  std::vector<gateway::content_id> needless;
-  for (const auto& [content, ended] : stored_) {
+  std::vector<gateway::content_id> expired;
+  for (const auto& [content, crash_count] : stored_crash_counts_) {
     if (state_.crashes.times_suspected(content) == 0) {
-      needless.push_back(content);
+      expired.push_back(content);
     }
   }
-  for (const auto& content : needless) {
+  for (const auto& content : expired) {
     auto message = adapter::remove_call(hold_kind, to_string(content));
     const auto reply = co_await store_.call(std::move(message), "remove", store_call_timeout);
-    const bool gone = reply.result == adapter::store_result::done ||
-                      reply.result == adapter::store_result::missing;
-    if (!gone) {
+    const bool removed = reply.result == adapter::store_result::done ||
+                         reply.result == adapter::store_result::missing;
+    if (!removed) {
       co_return false;
     }
-    stored_.erase(content);
+    stored_crash_counts_.erase(content);
   }
   co_return true;
 }
--- a/src/relay/crash_store.h
+++ b/src/relay/crash_store.h
@@ -1,8 +1,9 @@
-// Keeps what held contents are held for in the platform's store, so that it outlasts all daemons,
-// and reads what others have written there.
+// Persists holds in the platform's store, so that they survive the end of all daemons, and reads
+// the holds that other daemons wrote. A hold keeps request content that crashed several endpoints
+// from being sent to more of them; see crash_suspects.h.
 //
-// One object for each held content, written by the daemons that lead. Everything else that is known
-// of crashes travels between daemons alone.
+// The store has one object for each held content, with the crashes behind the hold. The coordinator
+// daemons write it. Everything else that is known of crashes is exchanged between daemons only.
 
 #ifndef WISTERIAFLOW_SRC_RELAY_CRASH_STORE_H_
 #define WISTERIAFLOW_SRC_RELAY_CRASH_STORE_H_
@@ -20,7 +21,7 @@
 
 namespace wisteriaflow::relay {
 
-// Not thread-safe.
+// Keeps the crashes in `state` and the objects in the store in step. Not thread-safe.
 class crash_store {
  public:
   crash_store(boost::asio::io_context& context, fleet_state& state, store_client& store)
@@ -28,29 +29,32 @@
   {
   }
 
-  // Starts to read and write. Never ends.
+  // Starts a coroutine that reads and writes until the context stops. Call it once; the object must
+  // outlive the context's run.
   void start();
 
  private:
   boost::asio::awaitable<void> run();
-  // Each of these returns whether the store has done what it was asked.
-  boost::asio::awaitable<bool> read();
+  // Each of these returns whether all its calls to the store succeeded.
+  boost::asio::awaitable<bool> read_holds();
   boost::asio::awaitable<bool> write_holds();
-  boost::asio::awaitable<bool> write(gateway::content_id content, std::size_t ended);
-  boost::asio::awaitable<bool> remove_needless();
+  boost::asio::awaitable<bool> write_hold(gateway::content_id content, std::size_t crash_count);
+  boost::asio::awaitable<bool> remove_expired_holds();
 
-  // Takes an object's content in. Returns how many ends it tells of; none if it is unreadable.
-  std::size_t take(const std::string& name, const boost::json::value& spec);
+  // Merges an object into the known crashes. Returns the number of crashes in it, 0 if it is
+  // unreadable.
+  std::size_t merge(const std::string& name, const boost::json::value& spec);
   [[nodiscard]] bool is_read_due(mono_time now) const;
-  // Whether the leads have anything to write or to remove.
-  [[nodiscard]] bool has_work();
+  // Whether there may be an object to write or to remove.
+  [[nodiscard]] bool has_pending_writes();
 
   boost::asio::io_context& context_;
   fleet_state& state_;
   store_client& store_;
-  std::map<gateway::content_id, std::size_t> stored_; // with the ends that the object tells of
-  mono_time next_read_;
-  bool was_read_ = false;
+  // Number of crashes in each stored object.
+  std::map<gateway::content_id, std::size_t> stored_crash_counts_;
+  mono_time next_read_at_;
+  bool initial_read_done_ = false;
 };
 
 } // namespace wisteriaflow::relay
--- a/src/relay/crash_watch.cc
+++ b/src/relay/crash_watch.cc
@@ -6,27 +6,28 @@
 
 namespace wisteriaflow::relay {
 
-boost::asio::awaitable<void> crash_watch::on_attempt(const admitted_call& call,
-                                                     const attempt_result& result)
+boost::asio::awaitable<void> crash_detector::on_attempt(const admitted_call& call,
+                                                        const attempt_result& result)
 {
   using gateway::attempt_outcome;
   if (result.outcome == attempt_outcome::answered) {
     if (http::status::is_success(result.answer.status)) {
-      note_answer(call);
+      record_success(call);
     }
     co_return;
   }
-  // An endpoint that is known to leave ends by itself, with all that it has not finished: a zone
-  // that is reclaimed says nothing of the calls that were there.
-  const bool may_have_ended = result.outcome == attempt_outcome::broken && result.broke_off &&
+  // An endpoint that is known to leave ends on its own and drops its unfinished calls. When a zone
+  // is reclaimed, the calls that ran there are not to blame.
+  const bool may_have_ended = result.outcome == attempt_outcome::broken &&
+                              result.closed_by_endpoint &&
                               state_.endpoints.is_active(result.endpoint);
   if (!may_have_ended) {
     co_return;
   }
-  const auto verdict = co_await probe_.ask(result.address);
+  const auto verdict = co_await probe_.probe(result.address);
   state_.counters.count("endpoint_probes", {{"verdict", std::string(to_string(verdict))}});
   if (verdict == probe_verdict::ended) {
-    note_end(call, result);
+    record_crash(call, result);
     co_return;
   }
   state_.log.write(daemon::log_level::info, "endpoint has not ended",
@@ -35,7 +36,7 @@
                     {"verdict", std::string(to_string(verdict))}});
 }
 
-void crash_watch::note_answer(const admitted_call& call)
+void crash_detector::record_success(const admitted_call& call)
 {
   if (state_.crashes.on_answered(call.content, state_.fleet_time())) {
     state_.log.write(
@@ -44,9 +45,10 @@
   }
 }
 
-void crash_watch::note_end(const admitted_call& call, const attempt_result& result)
+void crash_detector::record_crash(const admitted_call& call, const attempt_result& result)
 {
-  const auto stage = result.begun ? gateway::answer_stage::begun : gateway::answer_stage::not_begun;
+  const auto stage =
+      result.response_started ? gateway::answer_stage::begun : gateway::answer_stage::not_begun;
   state_.crashes.on_crash({.process = result.endpoint,
                            .content = call.content,
                            .stage = stage,
@@ -58,37 +60,38 @@
                     {"route", call.route->name},
                     {"endpoint", result.endpoint.id.value()},
                     {"incarnation", std::to_string(result.endpoint.incarnation)},
-                    {"answer_begun", result.begun ? "yes" : "no"},
+                    {"answer_begun", result.response_started ? "yes" : "no"},
                     {"suspect_in", std::to_string(state_.crashes.times_suspected(call.content))}});
-  state_.announce_news(); // the next request of the kind may come to any daemon
+  state_.announce_news(); // the next request with this content may reach any daemon
 }
 
-std::optional<gateway::content_hold> crash_watch::hold_of(const admitted_call& call)
+std::optional<gateway::content_hold> crash_detector::active_hold(const admitted_call& call)
 {
   auto hold = state_.crashes.hold_of(call.content);
-  if (hold && is_trial_due(call.content, hold->probe_at)) {
+  if (hold && is_hold_probe_due(call.content, hold->probe_at)) {
     return std::nullopt;
   }
   return hold;
 }
 
-bool crash_watch::is_trial_due(const gateway::content_id& content, wall_time try_at)
+bool crash_detector::is_hold_probe_due(const gateway::content_id& content, wall_time try_at)
 {
-  std::erase_if(trials_, [](const auto& it) { return it.second.expired(); });
-  return try_at <= state_.fleet_time() && state_.tries_held(content) && !trials_.contains(content);
+  std::erase_if(active_hold_probes_, [](const auto& it) { return it.second.expired(); });
+  return try_at <= state_.fleet_time() && state_.tries_held(content) &&
+         !active_hold_probes_.contains(content);
 }
 
-crash_watch::trial crash_watch::begin(const admitted_call& call)
+crash_detector::hold_probe crash_detector::begin_hold_probe(const admitted_call& call)
 {
   if (!state_.crashes.hold_of(call.content)) {
     return nullptr;
   }
-  auto mine = std::make_shared<const gateway::content_id>(call.content);
-  trials_.insert_or_assign(call.content, mine);
+  auto probe = std::make_shared<const gateway::content_id>(call.content);
+  active_hold_probes_.insert_or_assign(call.content, probe);
   state_.log.write(
       daemon::log_level::warn, "held content tried",
       {{"request", call.description.request_id}, {"content", to_string(call.content)}});
-  return mine;
+  return probe;
 }
 
 } // namespace wisteriaflow::relay
--- a/src/relay/crash_watch.h
+++ b/src/relay/crash_watch.h
@@ -1,5 +1,10 @@
-// Finds out whether an endpoint has ended under a call, and says which calls are not to be sent for
-// that; see crash_suspects.h.
+// Detects endpoints that ended while they ran a call, and tells which calls must not be sent
+// because their content crashed several endpoints; see crash_suspects.h.
+//
+//   crash_detector crashes(context, state);
+//   if (const auto hold = crashes.active_hold(call)) { ... } // refuse the call
+//   const auto probe = crashes.begin_hold_probe(call);       // lives as long as the attempt
+//   co_await crashes.on_attempt(call, result);
 
 #ifndef WISTERIAFLOW_SRC_RELAY_CRASH_WATCH_H_
 #define WISTERIAFLOW_SRC_RELAY_CRASH_WATCH_H_
@@ -19,35 +24,39 @@
 namespace wisteriaflow::relay {
 
 // Not thread-safe.
-class crash_watch {
+class crash_detector {
  public:
-  crash_watch(boost::asio::io_context& context, fleet_state& state) : state_(state), probe_(context)
+  crash_detector(boost::asio::io_context& context, fleet_state& state)
+      : state_(state), probe_(context)
   {
   }
 
-  // An attempt is over. If its endpoint broke it off, returns when it is known whether the endpoint
-  // has ended, so that what is decided next can go by it.
+  // Handles the end of an attempt. If the endpoint broke off the exchange, probes whether its
+  // process has ended, and returns only then, so that the decision on a retry can take it into
+  // account.
   boost::asio::awaitable<void> on_attempt(const admitted_call& call, const attempt_result& result);
 
-  // Why the call is not to be sent; nothing if it may be.
-  [[nodiscard]] std::optional<gateway::content_hold> hold_of(const admitted_call& call);
+  // The hold for which the call must not be sent; nothing if it may be sent.
+  [[nodiscard]] std::optional<gateway::content_hold> active_hold(const admitted_call& call);
 
-  // A call of a held content that is sent all the same. Nothing of the kind is sent here for as
-  // long as this lives.
-  using trial = std::shared_ptr<const gateway::content_id>;
+  // Marks a call with held content that is sent anyway, to find out whether the content still
+  // crashes endpoints. While the object lives, this daemon sends no other call with the same
+  // content.
+  using hold_probe = std::shared_ptr<const gateway::content_id>;
 
-  // Notes that the call is sent now. Null unless it is a trial.
-  [[nodiscard]] trial begin(const admitted_call& call);
+  // Must be called before each attempt. Returns a hold probe if the call's content is held, else
+  // null.
+  [[nodiscard]] hold_probe begin_hold_probe(const admitted_call& call);
 
  private:
-  void note_answer(const admitted_call& call);
-  void note_end(const admitted_call& call, const attempt_result& result);
+  void record_success(const admitted_call& call);
+  void record_crash(const admitted_call& call, const attempt_result& result);
 
-  [[nodiscard]] bool is_trial_due(const gateway::content_id& content, wall_time try_at);
+  [[nodiscard]] bool is_hold_probe_due(const gateway::content_id& content, wall_time try_at);
 
   fleet_state& state_;
   endpoint_probe probe_;
-  std::map<gateway::content_id, std::weak_ptr<const gateway::content_id>> trials_;
+  std::map<gateway::content_id, std::weak_ptr<const gateway::content_id>> active_hold_probes_;
 };
 
 } // namespace wisteriaflow::relay
--- a/src/relay/duties.cc
+++ b/src/relay/duties.cc
@@ -88,7 +88,7 @@
 {
   for (;;) {
     lease_.tick();
-    co_await pause(lease_tick_period);
+    co_await async_sleep(lease_tick_period);
   }
 }
 
@@ -117,7 +117,7 @@
 asio::awaitable<void> duties::report_usage()
 {
   for (;;) {
-    co_await pause(usage_check_period);
+    co_await async_sleep(usage_check_period);
     if (!lease_.may_act()) {
       continue;
     }
@@ -210,7 +210,7 @@
 {
   bool acted = false;
   for (;;) {
-    co_await pause(planning_period);
+    co_await async_sleep(planning_period);
     if (!lease_.may_act() || !state_.endpoints.has_list()) {
       acted = false;
       continue;
--- a/src/relay/endpoint_probe.cc
+++ b/src/relay/endpoint_probe.cc
@@ -17,9 +17,10 @@
 namespace asio = boost::asio;
 using asio::ip::tcp;
 
-// A process that ends closes its sockets one after the other, the listener not always first.
-constexpr milliseconds settle_time{5};
-// Opening a connection takes a millisecond or two.
+// Wait before the probe: a process that ends closes its sockets one by one, and the listening
+// socket is not always the first.
+constexpr milliseconds listener_close_delay{5};
+// Opening a connection takes 1 to 2 ms.
 constexpr milliseconds connect_timeout{100};
 
 } // namespace
@@ -37,27 +38,27 @@
   return "unknown";
 }
 
-asio::awaitable<probe_verdict> endpoint_probe::ask(http::socket_address address)
+asio::awaitable<probe_verdict> endpoint_probe::probe(http::socket_address address)
 {
-  const auto it = open_.find(address);
-  if (it != open_.end()) {
-    const auto shared = it->second;
+  const auto it = pending_.find(address);
+  if (it != pending_.end()) {
+    const auto running = it->second;
     boost::system::error_code ec;
-    co_await shared->done.async_wait(asio::redirect_error(asio::use_awaitable, ec));
-    co_return shared->verdict.value_or(probe_verdict::unknown);
+    co_await running->finished.async_wait(asio::redirect_error(asio::use_awaitable, ec));
+    co_return running->verdict.value_or(probe_verdict::unknown);
   }
-  const auto mine = std::make_shared<question>(context_);
-  mine->done.expires_at(asio::steady_timer::time_point::max());
-  open_.emplace(address, mine);
-  mine->verdict = co_await connect(address);
-  open_.erase(address);
-  mine->done.cancel();
-  co_return *mine->verdict;
+  const auto own = std::make_shared<pending_probe>(context_);
+  own->finished.expires_at(asio::steady_timer::time_point::max());
+  pending_.emplace(address, own);
+  own->verdict = co_await connect(address);
+  pending_.erase(address);
+  own->finished.cancel();
+  co_return *own->verdict;
 }
 
 asio::awaitable<probe_verdict> endpoint_probe::connect(http::socket_address address)
 {
-  co_await pause(settle_time);
+  co_await async_sleep(listener_close_delay);
   boost::system::error_code ec;
   const auto host = asio::ip::make_address(address.host, ec);
   if (ec) {
--- a/src/relay/endpoint_probe.h
+++ b/src/relay/endpoint_probe.h
@@ -1,7 +1,10 @@
-// Asks whether an endpoint's process still listens, by opening a connection.
+// Checks whether an endpoint's process still listens, by opening a TCP connection.
 //
-// Many calls break off at once when an endpoint ends: those that ask about one address at the same
-// time share one connection.
+// When an endpoint ends, many calls fail at once: concurrent probes of one address share one
+// connection.
+//
+//   endpoint_probe probes(context);
+//   if (co_await probes.probe(address) == probe_verdict::ended) { ... }
 
 #ifndef WISTERIAFLOW_SRC_RELAY_ENDPOINT_PROBE_H_
 #define WISTERIAFLOW_SRC_RELAY_ENDPOINT_PROBE_H_
@@ -19,13 +22,14 @@
 
 namespace wisteriaflow::relay {
 
-// What a connection to the address came to.
+// Result of the connection attempt.
 enum class probe_verdict {
-  listens, // it was accepted
-  ended,   // it was refused: nobody listens there
-  unknown, // no word in time: the way may be cut, or the instance has lost power
+  listens, // the connection was accepted
+  ended,   // the connection was refused: no process listens there
+  unknown, // no reply in time: the network may be cut, or the instance has lost power
 };
 
+// The name of the enumerator, as in metrics and log lines.
 [[nodiscard]] std::string_view to_string(probe_verdict verdict);
 
 // Not thread-safe.
@@ -33,22 +37,24 @@
  public:
   explicit endpoint_probe(boost::asio::io_context& context) : context_(context) {}
 
-  // Takes a few milliseconds, or a tenth of a second without an answer.
-  boost::asio::awaitable<probe_verdict> ask(http::socket_address address);
+  // Probes the address. Takes a few milliseconds, or about 100 ms if there is no reply. Does not
+  // throw: every other failure is `unknown`.
+  boost::asio::awaitable<probe_verdict> probe(http::socket_address address);
 
  private:
-  // One connection that is being opened; `done` is cancelled when it is known what it came to.
-  struct question {
-    explicit question(boost::asio::io_context& context) : done(context) {}
+  // A connection that is being opened. `finished` is a timer that never expires and is cancelled
+  // when the verdict is known.
+  struct pending_probe {
+    explicit pending_probe(boost::asio::io_context& context) : finished(context) {}
 
-    boost::asio::steady_timer done;
+    boost::asio::steady_timer finished;
     std::optional<probe_verdict> verdict;
   };
 
   boost::asio::awaitable<probe_verdict> connect(http::socket_address address);
 
   boost::asio::io_context& context_;
-  std::map<http::socket_address, std::shared_ptr<question>> open_;
+  std::map<http::socket_address, std::shared_ptr<pending_probe>> pending_;
 };
 
 } // namespace wisteriaflow::relay
--- a/src/relay/event_log.cc
+++ b/src/relay/event_log.cc
@@ -10,28 +10,28 @@
   const auto second = std::chrono::duration_cast<std::chrono::seconds>(since_start).count();
   auto it = budgets_.find(kind);
   if (it == budgets_.end()) {
-    it = budgets_.emplace(std::string(kind), budget{}).first;
+    it = budgets_.emplace(std::string(kind), line_budget{}).first;
   }
   auto& b = it->second;
   if (b.second != second) {
     b.second = second;
     b.written = 0;
   }
-  if (b.written >= lines_of_a_kind) {
-    ++b.left_out;
-    ++left_out_;
+  if (b.written >= max_lines_per_second) {
+    ++b.dropped;
+    ++dropped_lines_;
     return;
   }
   ++b.written;
-  if (b.left_out > 0) {
-    fields.emplace_back("lines_left_out", std::to_string(b.left_out));
+  if (b.dropped > 0) {
+    fields.emplace_back("lines_left_out", std::to_string(b.dropped));
   }
-  if (out_({.level = level, .message = std::string(kind), .fields = std::move(fields)})) {
-    b.left_out = 0;
+  if (sink_({.level = level, .message = std::string(kind), .fields = std::move(fields)})) {
+    b.dropped = 0;
     return;
   }
-  ++b.left_out;
-  ++left_out_;
+  ++b.dropped;
+  ++dropped_lines_;
 }
 
 } // namespace wisteriaflow::relay
--- a/src/relay/fleet_state.cc
+++ b/src/relay/fleet_state.cc
@@ -479,8 +479,8 @@
   if (endpoints.has_list()) {
     counters.set("endpoints_age_seconds", seconds(feed.view(now).age).count());
   }
-  counters.set("log_lines_queued", static_cast<double>(log.queued()));
-  counters.set("log_lines_left_out", static_cast<double>(log.left_out()));
+  counters.set("log_lines_queued", static_cast<double>(log.queued_lines()));
+  counters.set("log_lines_left_out", static_cast<double>(log.dropped_lines()));
 }
 
 void fleet_state::tick(const clock_reading& now)
@@ -507,8 +507,8 @@
                                 static_cast<double>(daemons));
   usage.forget_old(clock.now(now));
   crashes.tick(clock.now(now));
-  holds_.note(crashes.holds(), log);
-  counters.set("contents_held", static_cast<double>(holds_.number()));
+  holds_.log_changes(crashes.holds(), log);
+  counters.set("contents_held", static_cast<double>(holds_.size()));
   counters.set("endpoint_crashes_known", static_cast<double>(crashes.crashes_known()));
 }
 
--- a/src/relay/hold_log.cc
+++ b/src/relay/hold_log.cc
@@ -7,7 +7,7 @@
 
 namespace wisteriaflow::relay {
 
-log_fields fields_of(const gateway::content_id& content, const gateway::content_hold& hold)
+log_fields hold_log_fields(const gateway::content_id& content, const gateway::content_hold& hold)
 {
   std::string ended;
   for (const auto& process : hold.crashed) {
@@ -18,20 +18,20 @@
           {"tried_from_unix_ms", std::to_string(to_unix_ms(hold.probe_at))}};
 }
 
-void hold_log::note(content_holds present, event_log& log)
+void hold_log::log_changes(content_holds present, event_log& log)
 {
   for (const auto& [content, hold] : present) {
-    const auto it = noted_.find(content);
-    if (it == noted_.end() || it->second != hold) {
-      log.write(daemon::log_level::warn, "content held", fields_of(content, hold));
+    const auto it = logged_.find(content);
+    if (it == logged_.end() || it->second != hold) {
+      log.write(daemon::log_level::warn, "content held", hold_log_fields(content, hold));
     }
   }
-  for (const auto& [content, hold] : noted_) {
+  for (const auto& [content, hold] : logged_) {
     if (!present.contains(content)) {
       log.write(daemon::log_level::info, "hold over", {{"content", to_string(content)}});
     }
   }
-  noted_ = std::move(present);
+  logged_ = std::move(present);
 }
 
 } // namespace wisteriaflow::relay
--- a/src/relay/hold_log.h
+++ b/src/relay/hold_log.h
@@ -1,4 +1,4 @@
-// Tells in the log which contents come to be held, and which no longer are, whoever found out.
+// Logs which contents are put on hold and which holds end, no matter which daemon detected it.
 
 #ifndef WISTERIAFLOW_SRC_RELAY_HOLD_LOG_H_
 #define WISTERIAFLOW_SRC_RELAY_HOLD_LOG_H_
@@ -11,22 +11,25 @@
 
 namespace wisteriaflow::relay {
 
+// The holds in force, by content.
 using content_holds = std::map<gateway::content_id, gateway::content_hold>;
 
-// Why a content is held.
-[[nodiscard]] log_fields fields_of(const gateway::content_id& content,
-                                   const gateway::content_hold& hold);
+// The log fields of a hold: the content, the endpoints that ended, and from when a probe is
+// allowed.
+[[nodiscard]] log_fields hold_log_fields(const gateway::content_id& content,
+                                         const gateway::content_hold& hold);
 
-// Not thread-safe.
+// Remembers the holds that were logged. Not thread-safe.
 class hold_log {
  public:
-  // Writes what differs from the holds noted before.
-  void note(content_holds present, event_log& log);
+  // Logs the differences between `present` and the holds of the call before.
+  void log_changes(content_holds present, event_log& log);
 
-  [[nodiscard]] std::size_t number() const { return noted_.size(); }
+  // Number of holds in the last call of log_changes().
+  [[nodiscard]] std::size_t size() const { return logged_.size(); }
 
  private:
-  content_holds noted_;
+  content_holds logged_;
 };
 
 } // namespace wisteriaflow::relay
--- a/src/relay/metrics.cc
+++ b/src/relay/metrics.cc
@@ -10,7 +10,8 @@
 
 const std::string prefix = "wisteriaflow_gateway_";
 
-// Upper bounds in seconds: doubled from 5 ms, which is finer than any latency objective needs.
+// Bucket bounds in seconds. They double from 5 ms on, which is finer than any latency objective
+// needs.
 const std::vector<double>& bucket_edges()
 {
   static const std::vector<double> edges = {0,    0.005, 0.01, 0.02, 0.04, 0.08, 0.16,
@@ -18,8 +19,8 @@
   return edges;
 }
 
-// The labels without their braces.
-std::string join(const metric_labels& labels)
+// The labels in text form, without the braces.
+std::string join_labels(const metric_labels& labels)
 {
   std::string out;
   for (const auto& [name, value] : labels) {
@@ -28,7 +29,7 @@
   return out;
 }
 
-std::string braced(const std::string& labels)
+std::string in_braces(const std::string& labels)
 {
   return labels.empty() ? labels : "{" + labels + "}";
 }
@@ -37,7 +38,7 @@
 
 void metrics::count(const std::string& name, const metric_labels& labels, std::uint64_t n)
 {
-  counters_[name][braced(join(labels))] += n;
+  counters_[name][in_braces(join_labels(labels))] += n;
 }
 
 void metrics::set(const std::string& name, double value)
@@ -48,7 +49,7 @@
 void metrics::observe(const std::string& name, std::chrono::nanoseconds sample,
                       const metric_labels& labels)
 {
-  std::pair key(name, join(labels));
+  std::pair key(name, join_labels(labels));
   auto it = latencies_.find(key);
   if (it == latencies_.end()) {
     const boost::histogram::axis::variable<double> axis(bucket_edges());
@@ -60,14 +61,15 @@
   it->second.sum += seconds;
 }
 
-void metrics::expose(const std::string& name, const latency_series& series, std::string& out)
+void metrics::append_histogram(const std::string& name, const latency_series& series,
+                               std::string& out)
 {
   const auto full_name = absl::StrCat(prefix, name, "_seconds");
   const std::string bucket_labels = series.labels.empty() ? "" : series.labels + ",";
   const auto bucket = [&](const auto& upper, double n) {
     absl::StrAppend(&out, full_name, "_bucket{", bucket_labels, "le=\"", upper, "\"} ", n, "\n");
   };
-  double below = series.buckets.at(-1); // under the first edge
+  double below = series.buckets.at(-1); // samples below the first edge
   const auto& axis = series.buckets.axis();
   for (int i = 0; i < axis.size(); ++i) {
     below += series.buckets.at(i);
@@ -75,8 +77,8 @@
   }
   const double all = below + series.buckets.at(axis.size());
   bucket("+Inf", all);
-  absl::StrAppend(&out, full_name, "_sum", braced(series.labels), " ", series.sum, "\n");
-  absl::StrAppend(&out, full_name, "_count", braced(series.labels), " ", all, "\n");
+  absl::StrAppend(&out, full_name, "_sum", in_braces(series.labels), " ", series.sum, "\n");
+  absl::StrAppend(&out, full_name, "_count", in_braces(series.labels), " ", all, "\n");
 }
 
 std::string metrics::exposition() const
@@ -91,7 +93,7 @@
     absl::StrAppend(&out, prefix, name, " ", value, "\n");
   }
   for (const auto& [key, series] : latencies_) {
-    expose(key.first, series, out);
+    append_histogram(key.first, series, out);
   }
   return out;
 }
--- a/src/relay/metrics.h
+++ b/src/relay/metrics.h
@@ -1,4 +1,10 @@
-// Counters and latency histograms of the gateway daemon, in the usual text exposition.
+// Counters, gauges and latency histograms of the gateway daemon, rendered in the Prometheus text
+// format.
+//
+//   metrics m;
+//   m.count("answers", {{"status", "503"}});
+//   m.observe("call_time", 6ms);
+//   const std::string page = m.exposition();
 
 #ifndef WISTERIAFLOW_SRC_RELAY_METRICS_H_
 #define WISTERIAFLOW_SRC_RELAY_METRICS_H_
@@ -19,10 +25,10 @@
 // Labels of one series, in the order in which they are printed.
 using metric_labels = std::vector<std::pair<std::string, std::string>>;
 
-// Not thread-safe.
+// Names are without the common prefix and without suffixes such as _total. Not thread-safe.
 class metrics {
  public:
-  // Adds to a counter.
+  // Adds `n` to a counter.
   void count(const std::string& name, const metric_labels& labels = {}, std::uint64_t n = 1);
 
   // Sets a gauge.
@@ -32,12 +38,13 @@
   void observe(const std::string& name, std::chrono::nanoseconds sample,
                const metric_labels& labels = {});
 
-  // Everything, one series a line.
+  // All metrics, one sample per line.
   [[nodiscard]] std::string exposition() const;
 
  private:
   struct latency_series;
-  static void expose(const std::string& name, const latency_series& series, std::string& out);
+  static void append_histogram(const std::string& name, const latency_series& series,
+                               std::string& out);
 
   using latency_histogram =
       boost::histogram::histogram<std::tuple<boost::histogram::axis::variable<double>>>;
--- a/src/relay/outage_watch.h
+++ b/src/relay/outage_watch.h
@@ -1,4 +1,7 @@
-// Tells an outage of the store from single calls that failed.
+// Tells an outage of the store from single failed calls.
+//
+//   outage_detector outages(2s);
+//   if (const auto duration = outages.on_call_result(answered, now)) { ... } // the outage is over
 
 #ifndef WISTERIAFLOW_SRC_RELAY_OUTAGE_WATCH_H_
 #define WISTERIAFLOW_SRC_RELAY_OUTAGE_WATCH_H_
@@ -10,17 +13,17 @@
 
 namespace wisteriaflow::relay {
 
-// Not thread-safe.
-class outage_watch {
+// Detects outages from the results of calls. Not thread-safe.
+class outage_detector {
  public:
-  // Calls that failed over a shorter time than `shortest` are no outage.
-  explicit outage_watch(std::chrono::milliseconds shortest) : shortest_(shortest) {}
+  // Failures that span less than `min_duration` are not an outage.
+  explicit outage_detector(std::chrono::milliseconds min_duration) : min_duration_(min_duration) {}
 
-  // Notes a call's end. After an outage, the first answer returns the time over which calls failed.
+  // Records the result of a call. The first answer after an outage returns the outage's duration.
   //
-  // It counts from the first failure to the last, not to the answer: a daemon that calls seldom may
-  // have failed once long ago, and would take that for an outage ever since.
-  std::optional<std::chrono::milliseconds> note(bool answered, mono_time now)
+  // The duration is from the first failure to the last, not to the answer: a daemon that calls
+  // rarely would otherwise take one failure long ago for an outage that lasted until now.
+  std::optional<std::chrono::milliseconds> on_call_result(bool answered, mono_time now)
   {
     if (!answered) {
       first_failure_ = first_failure_.value_or(now);
@@ -30,16 +33,16 @@
     if (!first_failure_) {
       return std::nullopt;
     }
-    const auto failed_for = last_failure_ - *first_failure_;
+    const auto duration = last_failure_ - *first_failure_;
     first_failure_.reset();
-    if (failed_for < shortest_) {
+    if (duration < min_duration_) {
       return std::nullopt;
     }
-    return std::chrono::duration_cast<std::chrono::milliseconds>(failed_for);
+    return std::chrono::duration_cast<std::chrono::milliseconds>(duration);
   }
 
  private:
-  std::chrono::milliseconds shortest_;
+  std::chrono::milliseconds min_duration_;
   std::optional<mono_time> first_failure_; // since the last answer
   mono_time last_failure_;
 };
--- a/src/relay/pause.cc
+++ b/src/relay/pause.cc
@@ -9,7 +9,7 @@
 
 namespace asio = boost::asio;
 
-asio::awaitable<void> pause(std::chrono::milliseconds time)
+asio::awaitable<void> async_sleep(std::chrono::milliseconds time)
 {
   asio::steady_timer timer(co_await asio::this_coro::executor, time);
   boost::system::error_code ec;
--- a/src/relay/pause.h
+++ b/src/relay/pause.h
@@ -1,4 +1,6 @@
-// A coroutine's pause.
+// Suspends a coroutine for a time.
+//
+//   co_await async_sleep(200ms);
 
 #ifndef WISTERIAFLOW_SRC_RELAY_PAUSE_H_
 #define WISTERIAFLOW_SRC_RELAY_PAUSE_H_
@@ -9,8 +11,8 @@
 
 namespace wisteriaflow::relay {
 
-// Goes on after `time`, on the coroutine's own executor.
-boost::asio::awaitable<void> pause(std::chrono::milliseconds time);
+// Resumes the awaiting coroutine after `time`, on its own executor.
+boost::asio::awaitable<void> async_sleep(std::chrono::milliseconds time);
 
 } // namespace wisteriaflow::relay
 
--- a/src/relay/rollout_sync.cc
+++ b/src/relay/rollout_sync.cc
@@ -46,7 +46,7 @@
   for (unsigned failures = 0;;) {
     const auto after = state_.versions.rollouts_revision();
     if (after == 0 || !state_.leads(std::chrono::steady_clock::now())) {
-      co_await pause(lead_check_period);
+      co_await async_sleep(lead_check_period);
       continue;
     }
     auto message = adapter::watch_call(adapter::rollout_kind, after, watch_wait);
@@ -55,13 +55,13 @@
       list_wanted_ = true;
     }
     if (reply.result != adapter::store_result::done) {
-      co_await pause(store_.backoff(++failures));
+      co_await async_sleep(store_.backoff(++failures));
       continue;
     }
     failures = take_changes(reply.body) ? 0 : failures + 1;
     if (failures > 0) {
       list_wanted_ = true;
-      co_await pause(store_.backoff(failures));
+      co_await async_sleep(store_.backoff(failures));
     }
   }
 }
@@ -113,12 +113,12 @@
 {
   for (unsigned failures = 0;;) {
     if (!is_list_due(std::chrono::steady_clock::now())) {
-      co_await pause(catch_up_period);
+      co_await async_sleep(catch_up_period);
       continue;
     }
     const bool done = co_await list();
     failures = done ? 0 : failures + 1;
-    co_await pause(done ? catch_up_period : store_.backoff(failures));
+    co_await async_sleep(done ? catch_up_period : store_.backoff(failures));
   }
 }
 
@@ -192,7 +192,7 @@
 asio::awaitable<void> rollout_sync::conduct()
 {
   for (;;) {
-    co_await pause(conduct_period);
+    co_await async_sleep(conduct_period);
     const auto now = read_clocks();
     if (!state_.leads(now.mono)) {
       continue;
--- a/src/relay/settings.cc
+++ b/src/relay/settings.cc
@@ -13,10 +13,10 @@
 
 using std::chrono::milliseconds;
 
-// Reads keys one by one and names the faulty one.
-class reader {
+// Reads and validates single keys. An error message names the offending key.
+class settings_reader {
  public:
-  reader(std::istream& in, std::string name) : name_(std::move(name))
+  settings_reader(std::istream& in, std::string name) : name_(std::move(name))
   {
     try {
       values_ = read_ini(in, name_);
@@ -25,11 +25,11 @@
     }
   }
 
-  // Throws settings_error if the file has a key that nothing asked for.
-  void reject_unknown() const
+  // Throws settings_error if the file has a key that was never read.
+  void reject_unknown_keys() const
   {
     for (const auto& [where, value] : values_) {
-      if (!asked_.contains(where)) {
+      if (!requested_keys_.contains(where)) {
         throw settings_error(
             ini_fault(name_, where, value, "unknown key; docs/REFERENCE.md lists them"));
       }
@@ -81,7 +81,7 @@
     return out;
   }
 
-  // A number from 0 on.
+  // A number of at least 0; `fallback` if the key is missing or empty.
   [[nodiscard]] double number(const char* section, const char* key, double fallback) const
   {
     const auto value = find(section, key);
@@ -95,7 +95,8 @@
     return *out;
   }
 
-  // A time above 0, given as a number of `unit`.
+  // A duration greater than 0, written as a number of `unit`; `fallback` if the key is missing,
+  // empty or 0.
   [[nodiscard]] milliseconds time(const char* section, const char* key, milliseconds unit,
                                   milliseconds fallback) const
   {
@@ -113,7 +114,7 @@
   [[nodiscard]] std::optional<std::string> find(const char* section, const char* key) const
   {
     const ini_key where{.section = section, .key = key};
-    asked_.insert(where);
+    requested_keys_.insert(where);
     const auto it = values_.find(where);
     return it == values_.end() ? std::nullopt : std::optional(it->second);
   }
@@ -137,7 +138,7 @@
 
   std::string name_;
   ini_values values_;
-  mutable std::set<ini_key> asked_;
+  mutable std::set<ini_key> requested_keys_;
 };
 
 } // namespace
@@ -145,31 +146,31 @@
 settings parse_settings(std::istream& in, const std::string& name)
 {
   using namespace std::chrono_literals;
-  const reader from(in, name);
+  const settings_reader reader(in, name);
   settings out;
-  out.id = daemon_id(from.text("daemon", "id"));
-  out.zone = availability_zone(from.text("daemon", "availability_zone"));
-  out.log_level = from.log_level("daemon", "log_level");
-  out.callers = from.address("listen", "callers");
-  out.addresses = from.address("listen", "addresses");
-  out.readiness = from.address("listen", "readiness");
-  out.peers = from.address("listen", "peers");
-  out.metrics = from.optional_address("listen", "metrics");
-  out.seeds = from.addresses("peers", "seeds");
-  out.store = from.address("store", "address");
-  out.cloud = from.optional_address("cloud", "address");
-  out.endpoint_notice = from.time("drain", "endpoint_notice_ms", 1ms, 2s);
-  out.drain_grace = from.time("drain", "grace_s", 1s, 8s);
-  out.quota_slack = from.number("quota", "slack", 0);
-  out.retry_ratio = from.number("retries", "ratio", 0.1);
-  out.retry_slack = from.number("retries", "slack", 0);
-  out.retry_window = from.time("retries", "window_s", 1s, 10s);
-  out.trial_part = from.number("rollouts", "trial_part", 0);
-  out.trial_slack = from.number("rollouts", "trial_slack", 0);
-  out.lease_duration = from.time("duties", "lease_ms", 1ms, 3s);
-  out.usage_window = from.time("duties", "usage_window_s", 1s, 5s);
-  out.usage_deadline = from.time("duties", "usage_deadline_s", 1s, 10s);
-  from.reject_unknown();
+  out.id = daemon_id(reader.text("daemon", "id"));
+  out.zone = availability_zone(reader.text("daemon", "availability_zone"));
+  out.log_level = reader.log_level("daemon", "log_level");
+  out.callers = reader.address("listen", "callers");
+  out.addresses = reader.address("listen", "addresses");
+  out.readiness = reader.address("listen", "readiness");
+  out.peers = reader.address("listen", "peers");
+  out.metrics = reader.optional_address("listen", "metrics");
+  out.seeds = reader.addresses("peers", "seeds");
+  out.store = reader.address("store", "address");
+  out.cloud = reader.optional_address("cloud", "address");
+  out.endpoint_notice = reader.time("drain", "endpoint_notice_ms", 1ms, 2s);
+  out.drain_grace = reader.time("drain", "grace_s", 1s, 8s);
+  out.quota_slack = reader.number("quota", "slack", 0);
+  out.retry_ratio = reader.number("retries", "ratio", 0.1);
+  out.retry_slack = reader.number("retries", "slack", 0);
+  out.retry_window = reader.time("retries", "window_s", 1s, 10s);
+  out.trial_part = reader.number("rollouts", "trial_part", 0);
+  out.trial_slack = reader.number("rollouts", "trial_slack", 0);
+  out.lease_duration = reader.time("duties", "lease_ms", 1ms, 3s);
+  out.usage_window = reader.time("duties", "usage_window_s", 1s, 5s);
+  out.usage_deadline = reader.time("duties", "usage_deadline_s", 1s, 10s);
+  reader.reject_unknown_keys();
   return out;
 }
 
--- a/src/relay/store_client.cc
+++ b/src/relay/store_client.cc
@@ -73,7 +73,7 @@
 
 void store_client::note(bool answered)
 {
-  const auto away = outages_.note(answered, std::chrono::steady_clock::now());
+  const auto away = outages_.on_call_result(answered, std::chrono::steady_clock::now());
   if (!away) {
     return;
   }
--- a/src/relay/store_client.h
+++ b/src/relay/store_client.h
@@ -49,7 +49,7 @@
 
   http::client client_;
   fleet_state& state_;
-  outage_watch outages_{outage};
+  outage_detector outages_{outage};
   std::function<void()> on_return_;
   gateway::retry_policy retries_;
 };
--- a/src/relay/store_list.cc
+++ b/src/relay/store_list.cc
@@ -28,7 +28,7 @@
       if (after.empty() || ++failures > most_page_retries) {
         co_return out;
       }
-      co_await pause(store.backoff(failures));
+      co_await async_sleep(store.backoff(failures));
       continue;
     }
     failures = 0;
--- a/src/relay/store_sync.cc
+++ b/src/relay/store_sync.cc
@@ -98,7 +98,7 @@
       state_.note_configuration_read(std::chrono::steady_clock::now());
       co_await watch_configuration(all.revision);
     }
-    co_await pause(store_.backoff(++failures));
+    co_await async_sleep(store_.backoff(++failures));
   }
 }
 
@@ -140,7 +140,7 @@
       co_return;
     }
     if (read.result != adapter::store_result::done) {
-      co_await pause(store_.backoff(++failures));
+      co_await async_sleep(store_.backoff(++failures));
       continue; // a whole list is only for a gap
     }
     failures = 0;
@@ -169,7 +169,7 @@
         co_await watch_endpoints();
       }
     }
-    co_await pause(store_.backoff(++failures));
+    co_await async_sleep(store_.backoff(++failures));
   }
 }
 
@@ -185,7 +185,7 @@
       co_return false;
     }
     if (read.result != adapter::store_result::done) {
-      co_await pause(store_.backoff(++failures));
+      co_await async_sleep(store_.backoff(++failures));
       continue;
     }
     after = read.page.revision;
@@ -212,7 +212,7 @@
       co_return;
     }
     const auto left = std::chrono::ceil<milliseconds>(state_.feed.next_read_at() - now);
-    co_await pause(std::max(left, endpoint_check_period));
+    co_await async_sleep(std::max(left, endpoint_check_period));
   }
 }
 
@@ -227,7 +227,7 @@
       co_return;
     }
     if (read.result != adapter::store_result::done) {
-      co_await pause(store_.backoff(++failures));
+      co_await async_sleep(store_.backoff(++failures));
       continue;
     }
     failures = 0;
@@ -356,7 +356,7 @@
     const auto period = std::clamp(state_.call_period(daemon_lists_per_second),
                                    shortest_daemon_list_period, longest_daemon_list_period);
     failures = all.whole ? 0 : failures + 1;
-    co_await pause(all.whole ? period : store_.backoff(failures));
+    co_await async_sleep(all.whole ? period : store_.backoff(failures));
   }
 }
 
--- a/test/relay/attempt_test.cc
+++ b/test/relay/attempt_test.cc
@@ -12,7 +12,7 @@
 
 using namespace std::chrono_literals;
 
-// Takes an answer and does nothing with it.
+// Discards everything that is written.
 class null_writer final : public http::response_writer {
  public:
   boost::asio::awaitable<void> send(http::response) override { co_return; }
@@ -56,7 +56,7 @@
   admitted_call call_;
 };
 
-TEST_F(AttemptTest, TakesAnAnswerThatWasThereInTimeAfterItsThreadStoodStill)
+TEST_F(AttemptTest, AcceptsAnAnswerThatArrivedInTimeWhileTheThreadWasStalled)
 {
   attempt_result result;
   auto task = [&]() -> boost::asio::awaitable<void> {
@@ -65,10 +65,10 @@
   };
   endpoint_.stall = 100ms;
   fakes::run(context_, task());
-  EXPECT_EQ(result.how, attempt_result::end::whole);
+  EXPECT_EQ(result.end, attempt_result::end_state::complete);
 }
 
-TEST_F(AttemptTest, EndsWhenTheEndpointSaysNothing)
+TEST_F(AttemptTest, EndsWhenTheEndpointSendsNothing)
 {
   endpoint_.mood = fakes::endpoint_mood::says_nothing;
   attempt_result result;
--- a/test/relay/crash_store_test.cc
+++ b/test/relay/crash_store_test.cc
@@ -25,32 +25,32 @@
     return {.id = daemon_id("d"), .store = store.address(), .usage_window = 5s};
   }
 
-  void end_endpoints(int number)
+  void record_crashes(int count)
   {
-    for (int i = 0; i < number; ++i) {
+    for (int i = 0; i < count; ++i) {
       state_.crashes.on_crash({.process = {.id = endpoint_id("i-" + std::to_string(i))},
                                .content = content,
                                .at = state_.fleet_time()});
     }
   }
 
-  // What another daemon would have written.
-  boost::json::value written_elsewhere(int number, std::chrono::seconds ago = 0s)
+  // The object that another daemon would have written for `count` crashes.
+  boost::json::value spec_from_other_daemon(int count, std::chrono::seconds age = 0s)
   {
     gateway::crash_report news;
-    for (int i = 0; i < number; ++i) {
+    for (int i = 0; i < count; ++i) {
       news.crashes.push_back({.process = {.id = endpoint_id("j-" + std::to_string(i))},
-                              .at = state_.fleet_time() - ago,
+                              .at = state_.fleet_time() - age,
                               .suspects = {{content, gateway::answer_stage::not_begun}}});
     }
     return encode_crash_report(news);
   }
 
-  void wait_until(const std::function<bool()>& probe, const char* what)
+  void wait_until(const std::function<bool()>& condition, const char* description)
   {
     const auto deadline = std::chrono::steady_clock::now() + 60s;
-    while (!probe()) {
-      ASSERT_LT(std::chrono::steady_clock::now(), deadline) << what;
+    while (!condition()) {
+      ASSERT_LT(std::chrono::steady_clock::now(), deadline) << description;
       context_.restart();
       context_.run_for(20ms);
     }
@@ -64,7 +64,7 @@
 
   [[nodiscard]] bool is_held() { return state_.crashes.hold_of(content).has_value(); }
 
-  [[nodiscard]] std::size_t ends_stored() const
+  [[nodiscard]] std::size_t stored_crash_count() const
   {
     const auto spec = fake_.get(kind, to_string(content));
     return spec.is_object() ? gateway::decode_crash_report(spec).crashes.size() : 0;
@@ -78,40 +78,40 @@
   crash_store store_{context_, state_, client_};
 };
 
-TEST_F(CrashStoreTest, WritesWhatAHoldRestsOn)
+TEST_F(CrashStoreTest, WritesTheCrashesBehindAHold)
 {
   store_.start();
-  end_endpoints(3);
-  wait_until([this] { return ends_stored() == 3; }, "the hold is stored");
+  record_crashes(3);
+  wait_until([this] { return stored_crash_count() == 3; }, "the hold is stored");
 }
 
-TEST_F(CrashStoreTest, WritesNothingOfAMereSuspicion)
+TEST_F(CrashStoreTest, WritesNothingBelowTheHoldThreshold)
 {
   store_.start();
-  end_endpoints(2);
+  record_crashes(2);
   run_for(600ms);
-  EXPECT_EQ(ends_stored(), 0U);
+  EXPECT_EQ(stored_crash_count(), 0U);
 }
 
-TEST_F(CrashStoreTest, WritesFurtherEnds)
+TEST_F(CrashStoreTest, WritesFurtherCrashes)
 {
   store_.start();
-  end_endpoints(3);
-  wait_until([this] { return ends_stored() == 3; }, "the hold is stored");
-  end_endpoints(4);
-  wait_until([this] { return ends_stored() == 4; }, "the further end is stored");
+  record_crashes(3);
+  wait_until([this] { return stored_crash_count() == 3; }, "the hold is stored");
+  record_crashes(4);
+  wait_until([this] { return stored_crash_count() == 4; }, "the further crash is stored");
 }
 
-TEST_F(CrashStoreTest, ReadsAtItsStartWhatDaemonsBeforeItWrote)
+TEST_F(CrashStoreTest, ReadsAtStartHoldsThatEarlierDaemonsWrote)
 {
-  fake_.put(kind, to_string(content), written_elsewhere(3));
+  fake_.put(kind, to_string(content), spec_from_other_daemon(3));
   store_.start();
   wait_until([this] { return is_held(); }, "the hold is read");
 }
 
-TEST_F(CrashStoreTest, ReadsAsSoonAsAStoreThatWasAwayAnswers)
+TEST_F(CrashStoreTest, ReadsAsSoonAsTheStoreIsReachableAgain)
 {
-  fake_.put(kind, to_string(content), written_elsewhere(3));
+  fake_.put(kind, to_string(content), spec_from_other_daemon(3));
   fake_.away = true;
   store_.start();
   run_for(500ms);
@@ -120,59 +120,59 @@
   wait_until([this] { return is_held(); }, "the hold is read");
 }
 
-TEST_F(CrashStoreTest, WritesAsSoonAsAStoreThatWasAwayAnswers)
+TEST_F(CrashStoreTest, WritesAsSoonAsTheStoreIsReachableAgain)
 {
   store_.start();
   fake_.away = true;
-  end_endpoints(3);
+  record_crashes(3);
   run_for(500ms);
   fake_.away = false;
-  wait_until([this] { return ends_stored() == 3; }, "the hold is stored");
+  wait_until([this] { return stored_crash_count() == 3; }, "the hold is stored");
 }
 
-TEST_F(CrashStoreTest, ReadsWhatIsWrittenBehindACutFromAPeer)
+TEST_F(CrashStoreTest, ReadsHoldsWrittenByAPeerThatIsPartitionedOff)
 {
   store_.start();
   run_for(300ms);
   gateway::peer_report report;
   report.self = {.id = daemon_id("peer"), .incarnation = 1};
-  state_.peers.on_report(report, std::chrono::steady_clock::now() - 2s); // silent since
-  fake_.put(kind, to_string(content), written_elsewhere(3));
+  state_.peers.on_report(report, std::chrono::steady_clock::now() - 2s); // the last report
+  fake_.put(kind, to_string(content), spec_from_other_daemon(3));
   wait_until([this] { return is_held(); }, "the hold is read");
 }
 
-TEST_F(CrashStoreTest, JoinsWhatAnotherDaemonHasWrittenMeanwhile)
+TEST_F(CrashStoreTest, MergesWhatAnotherDaemonHasWrittenMeanwhile)
 {
   store_.start();
   run_for(300ms);
-  fake_.put(kind, to_string(content), written_elsewhere(2));
-  end_endpoints(3);
-  wait_until([this] { return ends_stored() >= 3; }, "the hold is stored");
+  fake_.put(kind, to_string(content), spec_from_other_daemon(2));
+  record_crashes(3);
+  wait_until([this] { return stored_crash_count() >= 3; }, "the hold is stored");
   EXPECT_EQ(state_.crashes.times_suspected(content), 5U);
 }
 
 TEST_F(CrashStoreTest, RemovesAHoldOnceTheContentIsAnswered)
 {
   store_.start();
-  end_endpoints(3);
-  wait_until([this] { return ends_stored() == 3; }, "the hold is stored");
+  record_crashes(3);
+  wait_until([this] { return stored_crash_count() == 3; }, "the hold is stored");
   state_.crashes.on_answered(content, state_.fleet_time());
-  wait_until([this] { return ends_stored() == 0; }, "the hold is removed");
+  wait_until([this] { return stored_crash_count() == 0; }, "the hold is removed");
 }
 
-TEST_F(CrashStoreTest, RemovesAHoldWhoseCrashesAreTooLongAgo)
+TEST_F(CrashStoreTest, RemovesAHoldWhoseCrashesHaveExpired)
 {
-  fake_.put(kind, to_string(content), written_elsewhere(3, 1'300s));
+  fake_.put(kind, to_string(content), spec_from_other_daemon(3, 1'300s));
   store_.start();
-  wait_until([this] { return ends_stored() == 0; }, "the hold is removed");
+  wait_until([this] { return stored_crash_count() == 0; }, "the hold is removed");
   EXPECT_FALSE(is_held());
 }
 
-TEST_F(CrashStoreTest, IsNotHarmedByObjectsOfOtherWriters)
+TEST_F(CrashStoreTest, IgnoresMalformedObjectsOfOtherWriters)
 {
   fake_.put(kind, "no content", {{"crashes", 1}});
   fake_.put(kind, std::string(32, 'a'), boost::json::array{1, 2});
-  fake_.put(kind, to_string(content), written_elsewhere(3));
+  fake_.put(kind, to_string(content), spec_from_other_daemon(3));
   store_.start();
   wait_until([this] { return is_held(); }, "the hold is read");
 }
--- a/test/relay/deadline_watch_test.cc
+++ b/test/relay/deadline_watch_test.cc
@@ -11,39 +11,39 @@
 
 using namespace std::chrono_literals;
 
-class DeadlineWatchTest : public testing::Test {
+class DeadlineTimerTest : public testing::Test {
  protected:
-  // Arms the watch with a deadline that has passed when the context next looks.
-  void arm_in_the_past()
+  // Arms the timer with a deadline that has passed when the context runs next.
+  void arm_expired_deadline()
   {
-    watch_->arm(std::chrono::steady_clock::now(), [this] { ++calls_; });
+    timer_->arm(std::chrono::steady_clock::now(), [this] { ++calls_; });
     std::this_thread::sleep_for(5ms);
   }
 
   boost::asio::io_context context_;
-  std::unique_ptr<deadline_watch> watch_ = std::make_unique<deadline_watch>(context_);
+  std::unique_ptr<deadline_timer> timer_ = std::make_unique<deadline_timer>(context_);
   int calls_ = 0;
 };
 
-TEST_F(DeadlineWatchTest, CallsBackOnce)
+TEST_F(DeadlineTimerTest, CallsBackOnce)
 {
-  arm_in_the_past();
+  arm_expired_deadline();
   context_.run();
   EXPECT_EQ(calls_, 1);
 }
 
-TEST_F(DeadlineWatchTest, IsSilentOnceDestroyedThoughItsTimerHasFired)
+TEST_F(DeadlineTimerTest, DoesNotCallBackOnceDestroyedThoughItsTimerHasFired)
 {
-  arm_in_the_past();
-  boost::asio::post(context_, [this] { watch_.reset(); }); // runs before the timer's handler
+  arm_expired_deadline();
+  boost::asio::post(context_, [this] { timer_.reset(); }); // runs before the timer's handler
   context_.run();
   EXPECT_EQ(calls_, 0);
 }
 
-TEST_F(DeadlineWatchTest, IsSilentOnceDisarmedThoughItsTimerHasFired)
+TEST_F(DeadlineTimerTest, DoesNotCallBackOnceDisarmedThoughItsTimerHasFired)
 {
-  arm_in_the_past();
-  boost::asio::post(context_, [this] { watch_->disarm(); });
+  arm_expired_deadline();
+  boost::asio::post(context_, [this] { timer_->disarm(); });
   context_.run();
   EXPECT_EQ(calls_, 0);
 }
--- a/test/relay/endpoint_pause_test.cc
+++ b/test/relay/endpoint_pause_test.cc
@@ -1,15 +1,15 @@
-// Endpoints that refuse a request and ask the daemon for a pause.
+// Endpoints that refuse a request and ask the daemon for a pause (Retry-After).
 //
-// An endpoint that had no room answered 503 and asked one daemon for three seconds without a
-// request. It got seven and then ten more from that daemon, answered 503 to each, and each call
-// went to another endpoint as a repeat, until repeats were used up. To the daemons a request turned
-// away was "full, not ill", and the endpoint, which had nothing to do, was the first choice for the
-// next call.
+// Guards against daemons that ignore the pause. An endpoint without capacity answered 503 and asked
+// one daemon for three seconds without requests. It got 7 and then 10 more from that daemon and
+// refused each, and each call was retried at another endpoint, until the retry budget was used up.
+// The daemon did not count a refusal as a failure, and the idle endpoint was the best candidate for
+// the next call.
 //
-//   6.063 s  i-8088949806 turns front-akl-d-1 away and asks for rest
+//   6.063 s  i-8088949806 refuses a request of front-akl-d-1 and asks for a pause
 //   8.368 s  request e0ca3d19588a8661 reaches i-8088949806 from front-akl-d-1
 //
-// Two requests are allowed from half a second after the answer until the end of the pause.
+// From half a second after the answer until the end of the pause, two requests are allowed.
 
 #include <chrono>
 #include <string>
@@ -23,13 +23,14 @@
 using namespace std::chrono_literals;
 
 constexpr std::size_t tolerated_requests = 2;
-// Longer than the test runs.
+// In seconds; longer than the test runs.
 constexpr const char* long_pause = "600";
 
 class EndpointPauseTest : public gateway_fixture {
  protected:
-  // The endpoint refuses requests, and has refused one of the first daemon.
-  void refuse(fake_endpoint& e, const std::string& pause)
+  // Makes the endpoint refuse requests with the pause, and waits until it has refused one of the
+  // first daemon.
+  void make_endpoint_refuse(fake_endpoint& e, const std::string& pause)
   {
     e.mood = endpoint_mood::sheds;
     e.statements = {{"Retry-After", pause}};
@@ -42,98 +43,98 @@
         "a request is refused");
   }
 
-  // Requests that the endpoint gets of 20 that come to the first daemon.
-  std::size_t requests_at(const fake_endpoint& e, const std::string& path = "/unsafe/1")
+  // Sends 20 requests to the first daemon. Returns how many of them reach the endpoint.
+  std::size_t send_and_count_received(const fake_endpoint& e, const std::string& path = "/unsafe/1")
   {
     const auto before = e.received.size();
     for (int i = 0; i < 20; ++i) {
       try {
         call(path.starts_with("/safe") ? "GET" : "POST", path);
       } catch (const http::http_error&) {
-        // A stream that could not go on is cut.
+        // A stream that could not be resumed is aborted.
       }
     }
     return e.received.size() - before;
   }
 };
 
-TEST_F(EndpointPauseTest, IsKept)
+TEST_F(EndpointPauseTest, IsHonored)
 {
-  auto& resting = add_endpoint("i-1");
+  auto& paused = add_endpoint("i-1");
   add_endpoint("i-2");
   start_fleet(1);
-  refuse(resting, long_pause);
-  EXPECT_LE(requests_at(resting), tolerated_requests);
+  make_endpoint_refuse(paused, long_pause);
+  EXPECT_LE(send_and_count_received(paused), tolerated_requests);
 }
 
-TEST_F(EndpointPauseTest, IsKeptWhereNoOtherEndpointIsLeft)
+TEST_F(EndpointPauseTest, IsHonoredWhenNoOtherEndpointIsLeft)
 {
-  auto& resting = add_endpoint("i-1");
+  auto& paused = add_endpoint("i-1");
   start_fleet(1);
-  refuse(resting, long_pause);
-  EXPECT_LE(requests_at(resting), tolerated_requests);
+  make_endpoint_refuse(paused, long_pause);
+  EXPECT_LE(send_and_count_received(paused), tolerated_requests);
 }
 
-TEST_F(EndpointPauseTest, IsKeptByRepeats)
+TEST_F(EndpointPauseTest, IsHonoredByRetries)
 {
-  auto& resting = add_endpoint("i-1");
+  auto& paused = add_endpoint("i-1");
   auto& failing = add_endpoint("i-2");
   start_fleet(1);
-  refuse(resting, long_pause);
+  make_endpoint_refuse(paused, long_pause);
   failing.mood = endpoint_mood::fails;
-  EXPECT_LE(requests_at(resting, "/safe/1"), tolerated_requests);
+  EXPECT_LE(send_and_count_received(paused, "/safe/1"), tolerated_requests);
 }
 
-TEST_F(EndpointPauseTest, IsKeptByStreamsThatGoOnElsewhere)
+TEST_F(EndpointPauseTest, IsHonoredByStreamsThatResumeElsewhere)
 {
-  auto& resting = add_endpoint("i-1");
-  auto& cutting = add_endpoint("i-2");
+  auto& paused = add_endpoint("i-1");
+  auto& truncating = add_endpoint("i-2");
   start_fleet(1);
-  refuse(resting, long_pause);
-  cutting.mood = endpoint_mood::streams_and_cuts;
-  EXPECT_LE(requests_at(resting, "/resumable/1"), tolerated_requests);
+  make_endpoint_refuse(paused, long_pause);
+  truncating.mood = endpoint_mood::streams_and_cuts;
+  EXPECT_LE(send_and_count_received(paused, "/resumable/1"), tolerated_requests);
 }
 
-TEST_F(EndpointPauseTest, LetsCallsBeRefusedAtOnceUntilItEnds)
+TEST_F(EndpointPauseTest, MakesTheDaemonRefuseCallsAtOnceUntilItEnds)
 {
-  auto& resting = add_endpoint("i-1");
+  auto& paused = add_endpoint("i-1");
   start_fleet(1);
-  refuse(resting, long_pause);
-  const auto before = resting.received.size();
+  make_endpoint_refuse(paused, long_pause);
+  const auto before = paused.received.size();
   const auto out = call("POST", "/unsafe/1");
   EXPECT_EQ(out.status, 503);
   EXPECT_GT(std::stod("0" + std::string(http::find_header(out.fields, "Retry-After"))), 60);
-  EXPECT_EQ(resting.received.size(), before);
+  EXPECT_EQ(paused.received.size(), before);
 }
 
 TEST_F(EndpointPauseTest, Ends)
 {
-  auto& resting = add_endpoint("i-1");
+  auto& paused = add_endpoint("i-1");
   start_fleet(1);
-  refuse(resting, "0.5");
-  resting.mood = endpoint_mood::answers;
-  resting.statements.clear();
+  make_endpoint_refuse(paused, "0.5");
+  paused.mood = endpoint_mood::answers;
+  paused.statements.clear();
   wait_until([this] { return call("POST", "/unsafe/1").status == 200; },
              "the endpoint is used again");
 }
 
-TEST_F(EndpointPauseTest, IsAskedOfOneDaemonAlone)
+TEST_F(EndpointPauseTest, AppliesOnlyToTheDaemonThatGotIt)
 {
-  auto& resting = add_endpoint("i-1");
+  auto& paused = add_endpoint("i-1");
   start_fleet(2);
-  refuse(resting, long_pause);
-  resting.mood = endpoint_mood::answers;
-  resting.statements.clear();
+  make_endpoint_refuse(paused, long_pause);
+  paused.mood = endpoint_mood::answers;
+  paused.statements.clear();
   const auto message = request_for("POST", "/unsafe/1");
   EXPECT_EQ(send(gateways_[1]->options.callers, message).status, 200);
 }
 
-TEST_F(EndpointPauseTest, ChangesNothingWhereItIsAbsurd)
+TEST_F(EndpointPauseTest, IsIgnoredWhenItsValueIsInvalid)
 {
   auto& endpoint = add_endpoint("i-1");
   start_fleet(1);
   for (const char* pause : {"-5", "soon", "1e9", "nan", "99999999", ""}) {
-    refuse(endpoint, pause);
+    make_endpoint_refuse(endpoint, pause);
     endpoint.mood = endpoint_mood::answers;
     EXPECT_EQ(call("POST", "/unsafe/1").status, 200) << pause;
   }
--- a/test/relay/endpoint_probe_test.cc
+++ b/test/relay/endpoint_probe_test.cc
@@ -17,7 +17,7 @@
   probe_verdict ask(const http::socket_address& address)
   {
     auto out = probe_verdict::unknown;
-    auto task = [&]() -> boost::asio::awaitable<void> { out = co_await probe_.ask(address); };
+    auto task = [&]() -> boost::asio::awaitable<void> { out = co_await probe_.probe(address); };
     fakes::run(context_, task());
     return out;
   }
@@ -26,13 +26,13 @@
   endpoint_probe probe_{context_};
 };
 
-TEST_F(EndpointProbeTest, SaysThatAnEndpointListens)
+TEST_F(EndpointProbeTest, ReportsAnEndpointThatListens)
 {
   const fakes::fake_endpoint endpoint(context_, "i-1");
   EXPECT_EQ(ask(endpoint.address()), probe_verdict::listens);
 }
 
-TEST_F(EndpointProbeTest, SaysThatAnEndpointHasEnded)
+TEST_F(EndpointProbeTest, ReportsAnEndpointThatHasEnded)
 {
   fakes::fake_endpoint endpoint(context_, "i-1");
   const auto address = endpoint.address();
@@ -40,26 +40,28 @@
   EXPECT_EQ(ask(address), probe_verdict::ended);
 }
 
-TEST_F(EndpointProbeTest, KnowsNothingOfAnAddressThatIsNone)
+TEST_F(EndpointProbeTest, ReportsUnknownForAnInvalidAddress)
 {
   EXPECT_EQ(ask({.host = "nowhere", .port = 1}), probe_verdict::unknown);
 }
 
-TEST_F(EndpointProbeTest, GivesAllWhoAskAtOnceTheSameAnswer)
+TEST_F(EndpointProbeTest, GivesConcurrentProbesTheSameResult)
 {
   const auto address = fakes::free_addresses(fakes::own_loopback_host(200), 1).front();
   std::vector<probe_verdict> verdicts;
   for (int i = 0; i < 64; ++i) {
     boost::asio::co_spawn(
         context_,
-        [&]() -> boost::asio::awaitable<void> { verdicts.push_back(co_await probe_.ask(address)); },
+        [&]() -> boost::asio::awaitable<void> {
+          verdicts.push_back(co_await probe_.probe(address));
+        },
         boost::asio::detached);
   }
   fakes::run_until(context_, [&] { return verdicts.size() == 64; });
   EXPECT_EQ(verdicts, std::vector(64, probe_verdict::ended));
 }
 
-TEST_F(EndpointProbeTest, AsksAnewEachTime)
+TEST_F(EndpointProbeTest, OpensANewConnectionForEachLaterProbe)
 {
   fakes::fake_endpoint endpoint(context_, "i-1");
   const auto address = endpoint.address();
--- a/test/relay/event_log_test.cc
+++ b/test/relay/event_log_test.cc
@@ -5,7 +5,7 @@
 namespace wisteriaflow::relay {
 namespace {
 
-TEST(EventLogTest, AFloodOfOneKindDoesNotHideAnother)
+TEST(EventLogTest, AFloodOfOneMessageDoesNotHideAnother)
 {
   std::vector<daemon::log_line> lines;
   event_log log([&](daemon::log_line line) {
@@ -16,25 +16,25 @@
     log.write(daemon::log_level::info, "flood", {});
   }
   log.write(daemon::log_level::warn, "other", {{"k", "v"}});
-  EXPECT_LE(lines.size(), 3 * event_log::lines_of_a_kind + 1);
+  EXPECT_LE(lines.size(), 3 * event_log::max_lines_per_second + 1);
   EXPECT_EQ(lines.back().message, "other");
 }
 
-TEST(EventLogTest, TheNextLineTellsWhatTheOutputDropped)
+TEST(EventLogTest, TheNextLineReportsHowManyWereDropped)
 {
   std::vector<daemon::log_line> lines;
-  bool takes = false;
+  bool accepts = false;
   event_log log([&](daemon::log_line line) {
     lines.push_back(std::move(line));
-    return takes;
+    return accepts;
   });
   log.write(daemon::log_level::info, "kind", {});
   log.write(daemon::log_level::info, "kind", {});
-  takes = true;
+  accepts = true;
   log.write(daemon::log_level::info, "kind", {});
-  EXPECT_EQ(log.left_out(), 2U);
-  const log_fields told = {{"lines_left_out", "2"}};
-  EXPECT_EQ(lines.back().fields, told);
+  EXPECT_EQ(log.dropped_lines(), 2U);
+  const log_fields expected = {{"lines_left_out", "2"}};
+  EXPECT_EQ(lines.back().fields, expected);
 }
 
 } // namespace
--- a/test/relay/failure_cause_test.cc
+++ b/test/relay/failure_cause_test.cc
@@ -1,5 +1,5 @@
-// From a failed request's id to its cause, by the log lines alone: what docs/OPERATIONS.md
-// promises.
+// Checks that the log lines alone lead from a failed request's id to the cause of the failure, as
+// docs/OPERATIONS.md describes.
 
 #include <gtest/gtest.h>
 
@@ -19,8 +19,8 @@
     wait_until_ready();
   }
 
-  // Sends a request; a broken answer is one without a status. Keeps its id.
-  int send_and_keep_id(const std::string& path)
+  // Sends a request and records its id. Returns the status, or 0 if the exchange broke.
+  int send_and_record_id(const std::string& path)
   {
     auto message = request_for("POST", path);
     id_ = std::string(http::find_header(message.fields, "Request-Id"));
@@ -31,10 +31,11 @@
     }
   }
 
-  // The value of `field` in the request's line with `message`; empty if there is none.
-  [[nodiscard]] std::string value(const std::string& message, const std::string& field) const
+  // The value of `field` in the first log line of the request with `message`; empty if there is
+  // none.
+  [[nodiscard]] std::string field_value(const std::string& message, const std::string& field) const
   {
-    for (const auto& line : gateways_[0]->lines_of(id_)) {
+    for (const auto& line : gateways_[0]->lines_for_request(id_)) {
       for (const auto& [name, text] : line.fields) {
         if (line.message == message && name == field) {
           return text;
@@ -50,39 +51,39 @@
 TEST_F(FailureCauseTest, ARefusalAsNotRunNamesTheEndpointThatWasFull)
 {
   start(endpoint_mood::sheds);
-  EXPECT_EQ(send_and_keep_id("/unsafe/1"), 503);
-  EXPECT_EQ(value("attempt failed", "endpoint"), "i-1");
-  EXPECT_EQ(value("attempt failed", "status"), "503");
-  EXPECT_EQ(value("call given up", "status"), "503");
+  EXPECT_EQ(send_and_record_id("/unsafe/1"), 503);
+  EXPECT_EQ(field_value("attempt failed", "endpoint"), "i-1");
+  EXPECT_EQ(field_value("attempt failed", "status"), "503");
+  EXPECT_EQ(field_value("call given up", "status"), "503");
 }
 
 TEST_F(FailureCauseTest, ALostAnswerNamesTheEndpointAndHowTheExchangeEnded)
 {
   start(endpoint_mood::cuts);
-  EXPECT_EQ(send_and_keep_id("/unsafe/1"), 502);
-  EXPECT_EQ(value("attempt failed", "endpoint"), "i-1");
-  EXPECT_EQ(value("attempt failed", "status"), "none");
-  EXPECT_NE(value("attempt failed", "reason").find("broke off"), std::string::npos);
-  EXPECT_EQ(value("call given up", "status"), "502");
+  EXPECT_EQ(send_and_record_id("/unsafe/1"), 502);
+  EXPECT_EQ(field_value("attempt failed", "endpoint"), "i-1");
+  EXPECT_EQ(field_value("attempt failed", "status"), "none");
+  EXPECT_NE(field_value("attempt failed", "reason").find("broke off"), std::string::npos);
+  EXPECT_EQ(field_value("call given up", "status"), "502");
 }
 
-TEST_F(FailureCauseTest, AStreamThatEndedEarlyTellsAfterWhichEventAndWhy)
+TEST_F(FailureCauseTest, ATruncatedStreamIsLoggedWithItsLastEventAndTheReason)
 {
   start(endpoint_mood::streams_and_cuts);
-  EXPECT_EQ(send_and_keep_id("/stream/1"), 0);
-  EXPECT_EQ(value("attempt failed", "events"), "3");
-  EXPECT_NE(value("attempt failed", "reason"), "");
-  EXPECT_EQ(value("call given up", "status"), "cut short");
+  EXPECT_EQ(send_and_record_id("/stream/1"), 0);
+  EXPECT_EQ(field_value("attempt failed", "events"), "3");
+  EXPECT_NE(field_value("attempt failed", "reason"), "");
+  EXPECT_EQ(field_value("call given up", "status"), "cut short");
 }
 
-TEST_F(FailureCauseTest, AnUnknownKeyIsToldWithTheConfigurationThatDecided)
+TEST_F(FailureCauseTest, AnUnknownKeyIsLoggedWithTheConfigurationInForce)
 {
   start(endpoint_mood::answers);
   auto message = request_for("GET", "/safe/1", "stranger");
   id_ = std::string(http::find_header(message.fields, "Request-Id"));
   EXPECT_EQ(send(gateways_[0]->options.callers, std::move(message)).status, 401);
-  EXPECT_EQ(value("call refused", "reason"), "unknown key");
-  EXPECT_EQ(value("call refused", "configuration"), "1");
+  EXPECT_EQ(field_value("call refused", "reason"), "unknown key");
+  EXPECT_EQ(field_value("call refused", "configuration"), "1");
 }
 
 } // namespace
--- a/test/relay/gateway_fixture.cc
+++ b/test/relay/gateway_fixture.cc
@@ -28,7 +28,7 @@
 running_gateway::running_gateway(const settings& s)
     : options(s), daemon(s, {.write =
                                  [this](daemon::log_line line) {
-                                   keep(std::move(line));
+                                   record_line(std::move(line));
                                    return true;
                                  },
                              .queued = [] { return std::size_t{0}; }}),
@@ -36,13 +36,14 @@
 {
 }
 
-void running_gateway::keep(daemon::log_line line)
+void running_gateway::record_line(daemon::log_line line)
 {
   const std::lock_guard lock(mutex_);
   lines_.push_back(std::move(line));
 }
 
-std::vector<daemon::log_line> running_gateway::lines_of(const std::string& request_id) const
+std::vector<daemon::log_line>
+running_gateway::lines_for_request(const std::string& request_id) const
 {
   const std::pair<std::string, std::string> field("request", request_id);
   const std::lock_guard lock(mutex_);
@@ -84,7 +85,7 @@
              .lease_duration = 3s,
              .usage_window = 5s,
              .usage_deadline = 10s};
-  adjust_(s);
+  customize_settings_(s);
   for (const auto& g : gateways_) {
     s.seeds.push_back(g->options.peers);
   }
@@ -152,11 +153,11 @@
   return send(gateways_.front()->options.callers, request_for(method, path, key));
 }
 
-void gateway_fixture::wait_until(const std::function<bool()>& probe, const char* what)
+void gateway_fixture::wait_until(const std::function<bool()>& condition, const char* description)
 {
   const auto deadline = std::chrono::steady_clock::now() + 60s;
-  while (!probe()) {
-    ASSERT_LT(std::chrono::steady_clock::now(), deadline) << what;
+  while (!condition()) {
+    ASSERT_LT(std::chrono::steady_clock::now(), deadline) << description;
     context_.restart();
     context_.run_for(20ms);
   }
--- a/test/relay/gateway_fixture.h
+++ b/test/relay/gateway_fixture.h
@@ -1,4 +1,5 @@
-// Gateway daemons on threads of their own, before fakes of the platform's store and of endpoints.
+// Test fixture that runs gateway daemons, each on its own thread, against a fake store and fake
+// endpoints. The fakes and the client run on the test's thread.
 
 #ifndef WISTERIAFLOW_TEST_RELAY_GATEWAY_FIXTURE_H_
 #define WISTERIAFLOW_TEST_RELAY_GATEWAY_FIXTURE_H_
@@ -25,7 +26,7 @@
 using fakes::fake_endpoint;
 using fakes::fake_store;
 
-// A daemon that runs until it is destroyed.
+// A daemon on a thread. It is drained and joined by the destructor.
 class running_gateway {
  public:
   explicit running_gateway(const settings& s);
@@ -33,19 +34,19 @@
   running_gateway(const running_gateway&) = delete;
   running_gateway& operator=(const running_gateway&) = delete;
 
-  // The log lines so far that name the request, oldest first.
-  std::vector<daemon::log_line> lines_of(const std::string& request_id) const;
+  // The log lines written so far that name the request, oldest first.
+  std::vector<daemon::log_line> lines_for_request(const std::string& request_id) const;
 
   settings options;
 
  private:
-  void keep(daemon::log_line line);
+  void record_line(daemon::log_line line);
 
   mutable std::mutex mutex_;
   std::vector<daemon::log_line> lines_;
 
  public:
-  gateway_daemon daemon; // logs as soon as it stands
+  gateway_daemon daemon; // after `lines_`: it logs as soon as it is constructed
 
  private:
   std::thread thread_;
@@ -53,35 +54,37 @@
 
 class gateway_fixture : public testing::Test {
  protected:
-  // The routes of a test are below this host: /safe/, /unsafe/, /stream/ and /resumable/.
+  // The host of the routes /safe/, /unsafe/, /stream/ and /resumable/.
   static constexpr const char* host = "shop.example";
 
   gateway_fixture();
 
-  // Starts a daemon that uses `store`; its seeds are the daemons started before.
+  // Starts a daemon that uses `store`. Its seeds are the daemons that were started before.
   running_gateway& start_gateway(fake_store& store);
-  // What the settings of daemons started from now on have besides.
-  std::function<void(settings&)> adjust_ = [](settings&) {};
+  // Changes the settings of the daemons that are started from now on.
+  std::function<void(settings&)> customize_settings_ = [](settings&) {};
 
-  // Adds an endpoint of the one service.
+  // Adds an endpoint of the service "chat" and writes its entry.
   fake_endpoint& add_endpoint(const std::string& id);
-  // Writes its entry. `born` is when its process started, in Unix milliseconds.
+  // Writes the endpoint's entry to the store. `born` is the start time of its process in Unix
+  // milliseconds.
   void write_endpoint(const fake_endpoint& e, const std::string& state, std::uint64_t born = 1'000,
                       const std::string& version = "v1");
-  // Writes the configuration; `without` leaves out the route of that name.
+  // Writes the configuration with this version, without the route named `without`.
   void write_configuration(std::uint64_t version, const std::string& without = "");
 
-  // Sends a request to the first daemon, or to `to`.
+  // Sends a request to the first daemon.
   http::response call(const std::string& method, const std::string& path,
                       const std::string& key = "k1");
+  // Sends a request to `to`.
   http::response send(const http::socket_address& to, http::request message);
-  // Repeats `probe` until it holds; fails the test after a time that only a fault reaches.
-  void wait_until(const std::function<bool()>& probe, const char* what);
-  // Waits until the first daemon serves calls.
+  // Runs the fakes until `condition` holds. Fails the test after 60 s, which only a fault can take.
+  void wait_until(const std::function<bool()>& condition, const char* description);
+  // Waits until the first daemon is ready.
   void wait_until_ready();
-  // Starts so many daemons more, and waits until they serve calls and have heard each other.
+  // Starts this many more daemons and waits until all are ready and have exchanged reports.
   void start_fleet(int daemons);
-  // Lets time pass for what runs on this thread: the store, the endpoints and callers.
+  // Runs the fakes and clients on this thread for the time.
   void run_for(std::chrono::milliseconds time);
 
   static http::request request_for(const std::string& method, const std::string& path,
--- a/test/relay/gateway_test.cc
+++ b/test/relay/gateway_test.cc
@@ -15,7 +15,7 @@
 
 class GatewayTest : public gateway_fixture {
  protected:
-  // One daemon and two endpoints.
+  // Starts one daemon with two endpoints.
   void start()
   {
     add_endpoint("i-1");
@@ -31,18 +31,20 @@
     }
   }
 
-  // The endpoint that gets the first request does `first` with it; later ones meet `later`.
+  // The endpoint that gets the first request behaves as `first`. Later requests meet `later`.
   void set_moods(endpoint_mood first, endpoint_mood later)
   {
     for (const auto& e : endpoints_) {
-      e->on_request = [this, first, later, e = e.get()] { e->mood = runs() == 1 ? first : later; };
+      e->on_request = [this, first, later, e = e.get()] {
+        e->mood = total_requests_received() == 1 ? first : later;
+      };
     }
   }
 
   // The first daemon's metrics page.
   std::string metrics() { return send(gateways_[0]->options.peers, {.target = "/metrics"}).body; }
 
-  [[nodiscard]] std::size_t runs() const
+  [[nodiscard]] std::size_t total_requests_received() const
   {
     std::size_t n = 0;
     for (const auto& e : endpoints_) {
@@ -52,7 +54,7 @@
   }
 };
 
-TEST_F(GatewayTest, PassesAnAnswerOnWithItsSignature)
+TEST_F(GatewayTest, ForwardsAnAnswerWithItsSignature)
 {
   start();
   const auto out = call("POST", "/unsafe/1");
@@ -61,7 +63,7 @@
   EXPECT_TRUE(http::find_header(out.fields, "Response-Seal").starts_with("signature-i-"));
 }
 
-TEST_F(GatewayTest, TellsTheEndpointWhomItExpectsAndWhoseTheRequestIs)
+TEST_F(GatewayTest, SendsTheExpectedInstanceAndTheWorkspaceToTheEndpoint)
 {
   start();
   call("POST", "/unsafe/1");
@@ -72,14 +74,14 @@
   EXPECT_EQ(http::find_header(fields, "Api-Key"), "");
 }
 
-TEST_F(GatewayTest, PassesAStreamOn)
+TEST_F(GatewayTest, ForwardsAStream)
 {
   start();
   set_mood(endpoint_mood::streams);
   EXPECT_EQ(call("POST", "/stream/1").body, whole_stream);
 }
 
-TEST_F(GatewayTest, GoesOnElsewhereWhereAStreamBrokeOff)
+TEST_F(GatewayTest, ResumesATruncatedStreamAtAnotherEndpoint)
 {
   start();
   set_moods(endpoint_mood::streams_and_cuts, endpoint_mood::streams);
@@ -88,15 +90,15 @@
   EXPECT_EQ(endpoints_[1]->received.size(), 1U);
 }
 
-TEST_F(GatewayTest, LetsABrokenStreamThatCannotGoOnLookBroken)
+TEST_F(GatewayTest, AbortsATruncatedStreamThatCannotResume)
 {
   start();
   set_mood(endpoint_mood::streams_and_cuts);
   EXPECT_THROW(call("POST", "/stream/1"), http::broken_exchange_error);
-  EXPECT_EQ(runs(), 1U);
+  EXPECT_EQ(total_requests_received(), 1U);
 }
 
-TEST_F(GatewayTest, SaysNotRunIfTheEndpointsSaidSo)
+TEST_F(GatewayTest, ReportsNotRunIfTheEndpointsReportedIt)
 {
   start();
   set_mood(endpoint_mood::sheds);
@@ -105,38 +107,38 @@
   EXPECT_NE(http::find_header(out.fields, "Retry-After"), "");
 }
 
-TEST_F(GatewayTest, DoesNotSayNotRunOfANonIdempotentCallThatWasCut)
+TEST_F(GatewayTest, DoesNotReportNotRunForANonIdempotentCallThatWasCutOff)
 {
   start();
   set_mood(endpoint_mood::cuts);
   EXPECT_EQ(call("POST", "/unsafe/1").status, 502);
-  EXPECT_EQ(runs(), 1U);
+  EXPECT_EQ(total_requests_received(), 1U);
 }
 
-TEST_F(GatewayTest, DoesNotSayNotRunBecauseAnEndpointSaysUnavailable)
+TEST_F(GatewayTest, DoesNotReportNotRunForA503WithoutThatPromise)
 {
   start();
   set_mood(endpoint_mood::refuses_unpromised);
   EXPECT_EQ(call("POST", "/unsafe/1").status, 502);
 }
 
-TEST_F(GatewayTest, SendsAnIdempotentCallElsewhereAfterACut)
+TEST_F(GatewayTest, RetriesAnIdempotentCallAfterABrokenExchange)
 {
   start();
   set_moods(endpoint_mood::cuts, endpoint_mood::answers);
   EXPECT_EQ(call("GET", "/safe/1").status, 200);
-  EXPECT_EQ(runs(), 2U);
+  EXPECT_EQ(total_requests_received(), 2U);
 }
 
-TEST_F(GatewayTest, SendsAnIdempotentCallElsewhereAfterSilence)
+TEST_F(GatewayTest, RetriesAnIdempotentCallAfterATimeoutWithoutData)
 {
   start();
   set_moods(endpoint_mood::says_nothing, endpoint_mood::answers);
   EXPECT_EQ(call("GET", "/safe/1").status, 200);
-  EXPECT_EQ(runs(), 2U);
+  EXPECT_EQ(total_requests_received(), 2U);
 }
 
-TEST_F(GatewayTest, PassesAnEndpointsOwnFailureOnWhereNoOtherEndpointIsLeft)
+TEST_F(GatewayTest, ForwardsAnEndpointsFailureWhenNoOtherEndpointIsLeft)
 {
   add_endpoint("i-1").mood = endpoint_mood::fails;
   start_gateway(store_);
@@ -144,20 +146,20 @@
   const auto out = call("GET", "/safe/1");
   EXPECT_EQ(out.status, 500);
   EXPECT_EQ(http::find_header(out.fields, "Response-Seal"), "signature-i-1");
-  EXPECT_EQ(runs(), 1U);
+  EXPECT_EQ(total_requests_received(), 1U);
 }
 
-TEST_F(GatewayTest, PassesAnEndpointsOwnFailureOnWhereTheRepeatGetsNoAnswer)
+TEST_F(GatewayTest, ForwardsAnEndpointsFailureWhenTheRetryGetsNoAnswer)
 {
   start();
   set_moods(endpoint_mood::fails, endpoint_mood::cuts);
   const auto out = call("GET", "/safe/1");
   EXPECT_EQ(out.status, 500);
   EXPECT_NE(http::find_header(out.fields, "Response-Seal"), "");
-  EXPECT_EQ(runs(), 2U);
+  EXPECT_EQ(total_requests_received(), 2U);
 }
 
-TEST_F(GatewayTest, PassesAnEndpointsOwnFailureOn)
+TEST_F(GatewayTest, ForwardsAnEndpointsFailure)
 {
   start();
   set_mood(endpoint_mood::fails);
@@ -166,14 +168,14 @@
   EXPECT_NE(http::find_header(out.fields, "Response-Seal"), "");
 }
 
-TEST_F(GatewayTest, TakesNoSuccessWithoutSignature)
+TEST_F(GatewayTest, RejectsASuccessWithoutSignature)
 {
   start();
   set_mood(endpoint_mood::answers_unsigned);
   EXPECT_EQ(call("POST", "/unsafe/1").status, 502);
 }
 
-TEST_F(GatewayTest, TakesNoAnswerToAnotherRequest)
+TEST_F(GatewayTest, RejectsAnAnswerToAnotherRequest)
 {
   start();
   set_mood(endpoint_mood::answers_for_another);
@@ -182,14 +184,14 @@
   EXPECT_EQ(send(gateways_[0]->options.callers, message).status, 504);
 }
 
-TEST_F(GatewayTest, KnowsWhatItDoesNotServe)
+TEST_F(GatewayTest, RejectsUnknownRoutesAndKeys)
 {
   start();
   EXPECT_EQ(call("GET", "/other/1").status, 404);
   EXPECT_EQ(call("GET", "/safe/1", "unknown").status, 401);
 }
 
-TEST_F(GatewayTest, SaysUnavailableWhileItHasNoConfiguration)
+TEST_F(GatewayTest, AnswersUnavailableWhileItHasNoConfiguration)
 {
   store_.away = true;
   start_gateway(store_);
@@ -197,14 +199,14 @@
   EXPECT_EQ(send(gateways_[0]->options.readiness, {.target = "/ready"}).status, 503);
 }
 
-TEST_F(GatewayTest, TakesANewConfigurationIntoForce)
+TEST_F(GatewayTest, AppliesANewConfiguration)
 {
   start();
   write_configuration(2, "safe");
   wait_until([this] { return call("GET", "/safe/1").status == 404; }, "the route is gone");
 }
 
-TEST_F(GatewayTest, NeverGoesBackToAnOlderConfiguration)
+TEST_F(GatewayTest, NeverRevertsToAnOlderConfiguration)
 {
   start();
   write_configuration(5, "safe");
@@ -215,7 +217,7 @@
   EXPECT_EQ(call("POST", "/unsafe/1").status, 404);
 }
 
-TEST_F(GatewayTest, KeepsTheConfigurationInForceWhenANewOneCannotBeRead)
+TEST_F(GatewayTest, KeepsTheCurrentConfigurationWhenANewOneCannotBeRead)
 {
   start();
   store_.put("config", "main", "not a configuration");
@@ -224,7 +226,7 @@
   EXPECT_EQ(call("GET", "/safe/1").status, 200);
 }
 
-TEST_F(GatewayTest, SendsNothingToALeavingEndpoint)
+TEST_F(GatewayTest, SendsNothingToADrainingEndpoint)
 {
   start();
   write_endpoint(*endpoints_[0], "draining");
@@ -239,39 +241,39 @@
       "the endpoint gets no more");
 }
 
-TEST_F(GatewayTest, TellsPeersAConfigurationThatTheStoreDoesNotServeThem)
+TEST_F(GatewayTest, SharesTheConfigurationWithPeersThatCannotReadTheStore)
 {
   add_endpoint("i-1");
   fake_store away(context_);
   away.away = true;
   start_gateway(store_);
-  auto& cut = start_gateway(away);
+  auto& second = start_gateway(away);
   wait_until(
       [&] {
-        const auto out = send(cut.options.peers, {.target = "/configuration"});
+        const auto out = send(second.options.peers, {.target = "/configuration"});
         return out.status == 200;
       },
       "the peer's configuration is in force");
 }
 
-TEST_F(GatewayTest, LearnsOfNewEndpointsFromPeersWhileTheStoreTurnsItAway)
+TEST_F(GatewayTest, LearnsOfNewEndpointsFromPeersWhileTheStoreRefusesIt)
 {
   add_endpoint("i-1");
-  fake_store door(context_, store_);
+  fake_store store_proxy(context_, store_);
   start_gateway(store_);
-  auto& cut = start_gateway(door);
-  const auto served_by_cut = [&] {
-    return send(cut.options.callers, request_for("GET", "/safe/1")).status == 200;
+  auto& second = start_gateway(store_proxy);
+  const auto served_by_second = [&] {
+    return send(second.options.callers, request_for("GET", "/safe/1")).status == 200;
   };
-  wait_until(served_by_cut, "the second daemon serves");
-  door.away = true;
+  wait_until(served_by_second, "the second daemon serves");
+  store_proxy.away = true;
   add_endpoint("i-2");
   write_endpoint(*endpoints_[0], "draining");
-  wait_until([&] { return served_by_cut() && !endpoints_[1]->received.empty(); },
+  wait_until([&] { return served_by_second() && !endpoints_[1]->received.empty(); },
              "the second daemon uses the new endpoint");
 }
 
-TEST_F(GatewayTest, TellsCallersOfAllReadyDaemons)
+TEST_F(GatewayTest, ListsAllReadyDaemonsForCallers)
 {
   add_endpoint("i-1");
   start_gateway(store_);
@@ -282,16 +284,16 @@
         const auto out = send(gateways_[0]->options.addresses, {.target = "/resolve?name=x"});
         return out.body.find(caller) != std::string::npos;
       },
-      "both are named");
+      "both daemons are listed");
 }
 
-TEST_F(GatewayTest, CancelsTheEndpointsWorkWhenTheCallerLeaves)
+TEST_F(GatewayTest, CancelsTheEndpointsWorkWhenTheCallerDisconnects)
 {
   start();
   set_mood(endpoint_mood::says_nothing);
   http::exchange handle;
   bool ended = false;
-  auto leave = [&]() -> boost::asio::awaitable<void> {
+  auto disconnect = [&]() -> boost::asio::awaitable<void> {
     try {
       co_await client_.stream(gateways_[0]->options.callers, request_for("POST", "/unsafe/1"),
                               fakes::far_deadline(), {}, &handle);
@@ -299,23 +301,23 @@
       ended = true;
     }
   };
-  boost::asio::co_spawn(context_, leave(), boost::asio::detached);
-  wait_until([this] { return runs() == 1; }, "the endpoint has the request");
+  boost::asio::co_spawn(context_, disconnect(), boost::asio::detached);
+  wait_until([this] { return total_requests_received() == 1; }, "the endpoint has the request");
   handle.cancel();
-  wait_until([&] { return ended; }, "the caller has left");
-  // The daemon counts callers that have gone once it has let go of the endpoint.
+  wait_until([&] { return ended; }, "the caller has disconnected");
+  // The daemon counts a disconnected caller after it has closed the exchange with the endpoint.
   wait_until([this] { return metrics().find("callers_gone_total 1") != std::string::npos; },
              "the call has ended");
 }
 
-TEST_F(GatewayTest, MetricsTellAnswersByRouteAndStatus)
+TEST_F(GatewayTest, MetricsCountAnswersByRouteAndStatus)
 {
   start();
   call("GET", "/safe/1");
   EXPECT_NE(metrics().find("answers_total{route=\"safe\",status=\"200\"} 1\n"), std::string::npos);
 }
 
-TEST_F(GatewayTest, MetricsTellHowLongCallsOfARouteTook)
+TEST_F(GatewayTest, MetricsReportLatenciesByRoute)
 {
   start();
   call("GET", "/safe/1");
@@ -324,7 +326,7 @@
   EXPECT_NE(metrics().find("call_time_seconds_count{route=\"safe\"} 1\n"), std::string::npos);
 }
 
-TEST_F(GatewayTest, MetricsCountAStreamThatGoesOnAtAnotherEndpoint)
+TEST_F(GatewayTest, MetricsCountAStreamThatResumesAtAnotherEndpoint)
 {
   start();
   set_moods(endpoint_mood::streams_and_cuts, endpoint_mood::streams);
@@ -332,15 +334,15 @@
   EXPECT_NE(metrics().find("resumes_total{route=\"resumable\"} 1\n"), std::string::npos);
 }
 
-TEST_F(GatewayTest, MetricsTellHowOldWhatIsBelievedIs)
+TEST_F(GatewayTest, MetricsReportTheAgeOfConfigurationAndEndpoints)
 {
   start();
   wait_until([this] { return metrics().find("configuration_age_seconds ") != std::string::npos; },
-             "the configuration's age is told");
+             "the configuration's age is in the metrics");
   EXPECT_NE(metrics().find("endpoints_age_seconds "), std::string::npos);
 }
 
-TEST_F(GatewayTest, MetricsTellWhatWorkspacesUse)
+TEST_F(GatewayTest, MetricsCountTheQuotaUnitsOfWorkspaces)
 {
   start();
   call("GET", "/safe/1");
@@ -360,7 +362,7 @@
   EXPECT_EQ(http::find_header(out.fields, "Connection"), "close");
 }
 
-TEST_F(GatewayTest, ACallAtAnEndpointThatStartsAnewEndsBeforeItsDeadline)
+TEST_F(GatewayTest, ACallAtAnEndpointThatRestartsEndsBeforeItsDeadline)
 {
   start();
   for (const auto& e : endpoints_) {
@@ -369,10 +371,10 @@
   }
   const auto out = call("POST", "/unsafe/1");
   EXPECT_EQ(out.status, 502); // it may have run; at its deadline the status would be 504
-  EXPECT_EQ(runs(), 1U);
+  EXPECT_EQ(total_requests_received(), 1U);
 }
 
-TEST_F(GatewayTest, AnEntryOfAnotherWriterNamesNoEndpointAndHarmsNoOther)
+TEST_F(GatewayTest, AnInvalidEndpointEntryIsRejectedAndAffectsNoOther)
 {
   start();
   store_.put("servers", "i-1", {{"service", "chat"}, {"state", "warming"}});
--- a/test/relay/leaving_answer_test.cc
+++ b/test/relay/leaving_answer_test.cc
@@ -1,13 +1,14 @@
-// Endpoints that say in their answers that they leave.
+// Endpoints that state in their answers that they are leaving.
 //
-// Thirteen endpoints of a reclaimed zone said so while the store acknowledged nothing for thirteen
-// seconds. Daemons passed answers on that said it, and 2.1 and 2.3 s later sent those endpoints
-// further requests; two are all that is allowed.
+// Guards against daemons that ignore the statement and go by the store's entry alone. Thirteen
+// endpoints of a reclaimed zone stated it while the store acknowledged nothing for thirteen
+// seconds. Daemons forwarded answers with the statement, and 2.1 and 2.3 s later sent those
+// endpoints further requests. Two are the most that is allowed.
 //
-//   6.902 s  front-tan-binh-1 has passed on an answer of i-5cf3b809ed that says so
+//   6.902 s  front-tan-binh-1 has forwarded an answer of i-5cf3b809ed with the statement
 //   9.008 s  request 963f4b2147bece0e reaches i-5cf3b809ed from front-tan-binh-1
 //
-// The store's entry went on saying that they serve, so what was heard must hold against it.
+// The store's entries still listed the endpoints as serving, so the statement must override them.
 
 #include <chrono>
 #include <string>
@@ -22,8 +23,8 @@
 
 class LeavingAnswerTest : public gateway_fixture {
  protected:
-  // The endpoint leaves, and an answer of it to the first daemon has said so.
-  void leave(fake_endpoint& e)
+  // Makes the endpoint state that it leaves, and waits until it has answered the first daemon.
+  void announce_leaving(fake_endpoint& e)
   {
     e.statements = {{"Server-Leaving", "1"}};
     const auto before = e.received.size();
@@ -32,122 +33,122 @@
           call("GET", "/safe/1");
           return e.received.size() > before;
         },
-        "an answer has said it");
+        "an answer has stated that the endpoint leaves");
   }
 
-  // Requests that the endpoint gets of 20 that come to the daemon.
-  std::size_t requests_at(const fake_endpoint& e, const running_gateway& by,
-                          const std::string& path = "/unsafe/1")
+  // Sends 20 requests to the daemon. Returns how many of them reach the endpoint.
+  std::size_t send_and_count_received(const fake_endpoint& e, const running_gateway& by,
+                                      const std::string& path = "/unsafe/1")
   {
     const auto before = e.received.size();
     for (int i = 0; i < 20; ++i) {
       try {
         send(by.options.callers, request_for(path.starts_with("/safe") ? "GET" : "POST", path));
       } catch (const http::http_error&) {
-        // A stream that could not go on is cut.
+        // A stream that could not be resumed is aborted.
       }
     }
     return e.received.size() - before;
   }
 };
 
-TEST_F(LeavingAnswerTest, KeepsRequestsAway)
+TEST_F(LeavingAnswerTest, StopsRequestsToTheEndpoint)
 {
   auto& leaving = add_endpoint("i-1");
   add_endpoint("i-2");
   start_fleet(1);
-  leave(leaving);
-  EXPECT_EQ(requests_at(leaving, *gateways_[0]), 0U);
+  announce_leaving(leaving);
+  EXPECT_EQ(send_and_count_received(leaving, *gateways_[0]), 0U);
 }
 
-TEST_F(LeavingAnswerTest, KeepsRequestsAwayWhereNoOtherEndpointIsLeft)
+TEST_F(LeavingAnswerTest, StopsRequestsWhenNoOtherEndpointIsLeft)
 {
   auto& leaving = add_endpoint("i-1");
   start_fleet(1);
-  leave(leaving);
-  EXPECT_EQ(requests_at(leaving, *gateways_[0]), 0U);
+  announce_leaving(leaving);
+  EXPECT_EQ(send_and_count_received(leaving, *gateways_[0]), 0U);
   EXPECT_EQ(call("POST", "/unsafe/1").status, 503);
 }
 
-TEST_F(LeavingAnswerTest, KeepsRepeatsAway)
+TEST_F(LeavingAnswerTest, StopsRetriesToTheEndpoint)
 {
   auto& leaving = add_endpoint("i-1");
   auto& failing = add_endpoint("i-2");
   start_fleet(1);
-  leave(leaving);
+  announce_leaving(leaving);
   failing.mood = endpoint_mood::fails;
-  EXPECT_EQ(requests_at(leaving, *gateways_[0], "/safe/1"), 0U);
+  EXPECT_EQ(send_and_count_received(leaving, *gateways_[0], "/safe/1"), 0U);
 }
 
-TEST_F(LeavingAnswerTest, KeepsStreamsAwayThatGoOnElsewhere)
+TEST_F(LeavingAnswerTest, StopsResumedStreamsToTheEndpoint)
 {
   auto& leaving = add_endpoint("i-1");
-  auto& cutting = add_endpoint("i-2");
+  auto& truncating = add_endpoint("i-2");
   start_fleet(1);
-  leave(leaving);
-  cutting.mood = endpoint_mood::streams_and_cuts;
-  EXPECT_EQ(requests_at(leaving, *gateways_[0], "/resumable/1"), 0U);
+  announce_leaving(leaving);
+  truncating.mood = endpoint_mood::streams_and_cuts;
+  EXPECT_EQ(send_and_count_received(leaving, *gateways_[0], "/resumable/1"), 0U);
 }
 
-TEST_F(LeavingAnswerTest, HoldsAgainstANewerEntryOfTheStore)
+TEST_F(LeavingAnswerTest, OverridesANewerEntryOfTheStore)
 {
   auto& leaving = add_endpoint("i-1");
   add_endpoint("i-2");
   start_fleet(1);
-  leave(leaving);
+  announce_leaving(leaving);
   write_endpoint(leaving, "ready");
   run_for(3s); // the daemon has read it
-  EXPECT_EQ(requests_at(leaving, *gateways_[0]), 0U);
+  EXPECT_EQ(send_and_count_received(leaving, *gateways_[0]), 0U);
 }
 
-TEST_F(LeavingAnswerTest, HoldsForAnEntryThatLapsedAndCameBack)
+TEST_F(LeavingAnswerTest, OverridesAnEntryThatWasDeletedAndCreatedAgain)
 {
   auto& leaving = add_endpoint("i-1");
   add_endpoint("i-2");
   start_fleet(1);
-  leave(leaving);
+  announce_leaving(leaving);
   store_.erase("servers", leaving.id());
   run_for(3s);
   write_endpoint(leaving, "ready");
   run_for(3s);
-  EXPECT_EQ(requests_at(leaving, *gateways_[0]), 0U);
+  EXPECT_EQ(send_and_count_received(leaving, *gateways_[0]), 0U);
 }
 
-TEST_F(LeavingAnswerTest, IsHeardOfByOtherDaemons)
+TEST_F(LeavingAnswerTest, ReachesOtherDaemons)
 {
   auto& leaving = add_endpoint("i-1");
   add_endpoint("i-2");
   start_fleet(3);
   store_.away = true;
-  leave(leaving);
+  announce_leaving(leaving);
   run_for(1s);
-  EXPECT_EQ(requests_at(leaving, *gateways_[1]), 0U);
-  EXPECT_EQ(requests_at(leaving, *gateways_[2]), 0U);
+  EXPECT_EQ(send_and_count_received(leaving, *gateways_[1]), 0U);
+  EXPECT_EQ(send_and_count_received(leaving, *gateways_[2]), 0U);
 }
 
-TEST_F(LeavingAnswerTest, IsHeardOfByADaemonThatJoins)
+TEST_F(LeavingAnswerTest, ReachesADaemonThatJoins)
 {
   auto& leaving = add_endpoint("i-1");
   add_endpoint("i-2");
   start_fleet(2);
-  leave(leaving);
-  run_for(6s); // it is no news any more
+  announce_leaving(leaving);
+  run_for(6s); // urgent updates no longer carry it
   start_fleet(1);
-  EXPECT_EQ(requests_at(leaving, *gateways_[2]), 0U);
+  EXPECT_EQ(send_and_count_received(leaving, *gateways_[2]), 0U);
 }
 
-TEST_F(LeavingAnswerTest, DoesNotHoldForTheNextProcessOfTheEndpoint)
+TEST_F(LeavingAnswerTest, DoesNotApplyToTheNextProcessOfTheEndpoint)
 {
   auto& leaving = add_endpoint("i-1");
   start_fleet(1);
-  leave(leaving);
+  announce_leaving(leaving);
   leaving.statements.clear();
   write_endpoint(leaving, "ready", 2'000);
   wait_until([this] { return call("POST", "/unsafe/1").status == 200; },
              "the endpoint is used again");
 }
 
-TEST_F(LeavingAnswerTest, OfAnotherEndpointAtTheAddressSaysNothing)
+TEST_F(LeavingAnswerTest, IsIgnoredWhenAnotherEndpointAnswersAtTheAddress)
 {
   auto& endpoint = add_endpoint("i-1");
   start_fleet(1);
@@ -159,7 +160,7 @@
   EXPECT_EQ(call("POST", "/unsafe/1").status, 200);
 }
 
-TEST_F(LeavingAnswerTest, ChangesNothingWhereItIsUnreadable)
+TEST_F(LeavingAnswerTest, IsIgnoredWhenItsValueIsInvalid)
 {
   auto& endpoint = add_endpoint("i-1");
   start_fleet(1);
--- a/test/relay/metrics_test.cc
+++ b/test/relay/metrics_test.cc
@@ -34,7 +34,7 @@
   EXPECT_NE(text.find("call_time_seconds_count 2\n"), std::string::npos) << text;
 }
 
-TEST(MetricsTest, KeepsALatencyApartForEachLabel)
+TEST(MetricsTest, KeepsASeparateHistogramForEachLabel)
 {
   metrics m;
   m.observe("call_time", 6ms, {{"route", "a"}});
--- a/test/relay/outage_watch_test.cc
+++ b/test/relay/outage_watch_test.cc
@@ -9,38 +9,38 @@
 
 const mono_time start{1'000s};
 
-TEST(OutageWatchTest, CallsThatFailForLongAreAnOutage)
+TEST(OutageDetectorTest, CallsThatFailForLongAreAnOutage)
 {
-  outage_watch watch(2s);
+  outage_detector detector(2s);
   for (auto t = 0s; t <= 3s; t += 1s) {
-    EXPECT_FALSE(watch.note(false, start + t));
+    EXPECT_FALSE(detector.on_call_result(false, start + t));
   }
-  EXPECT_EQ(watch.note(true, start + 4s), 3'000ms);
+  EXPECT_EQ(detector.on_call_result(true, start + 4s), 3'000ms);
 }
 
-TEST(OutageWatchTest, AnOutageIsToldOnce)
+TEST(OutageDetectorTest, AnOutageIsReportedOnce)
 {
-  outage_watch watch(2s);
-  static_cast<void>(watch.note(false, start));
-  static_cast<void>(watch.note(false, start + 3s));
-  EXPECT_TRUE(watch.note(true, start + 4s));
-  EXPECT_FALSE(watch.note(true, start + 5s));
+  outage_detector detector(2s);
+  static_cast<void>(detector.on_call_result(false, start));
+  static_cast<void>(detector.on_call_result(false, start + 3s));
+  EXPECT_TRUE(detector.on_call_result(true, start + 4s));
+  EXPECT_FALSE(detector.on_call_result(true, start + 5s));
 }
 
-TEST(OutageWatchTest, OneFailureLongAgoIsNone)
+TEST(OutageDetectorTest, OneFailureLongAgoIsNoOutage)
 {
-  outage_watch watch(2s);
-  static_cast<void>(watch.note(false, start));
-  EXPECT_FALSE(watch.note(true, start + 10s));
+  outage_detector detector(2s);
+  static_cast<void>(detector.on_call_result(false, start));
+  EXPECT_FALSE(detector.on_call_result(true, start + 10s));
 }
 
-TEST(OutageWatchTest, AnAnswerInBetweenEndsIt)
+TEST(OutageDetectorTest, AnAnswerInBetweenRestartsTheMeasurement)
 {
-  outage_watch watch(2s);
-  static_cast<void>(watch.note(false, start));
-  static_cast<void>(watch.note(true, start + 1s));
-  static_cast<void>(watch.note(false, start + 3s));
-  EXPECT_FALSE(watch.note(true, start + 4s));
+  outage_detector detector(2s);
+  static_cast<void>(detector.on_call_result(false, start));
+  static_cast<void>(detector.on_call_result(true, start + 1s));
+  static_cast<void>(detector.on_call_result(false, start + 3s));
+  EXPECT_FALSE(detector.on_call_result(true, start + 4s));
 }
 
 } // namespace
--- a/test/relay/rate_limit_replay_test.cc
+++ b/test/relay/rate_limit_replay_test.cc
@@ -1,9 +1,10 @@
-// Replays fleets whose endpoints name the rate of requests that they take from all daemons
-// together: daemons that die, join and are cut off from each other, on one list of events.
+// Simulates fleets whose endpoints state the request rate that they accept from all daemons
+// together, while daemons die, restart and are partitioned from each other. One thread and a
+// simulated clock run all daemons.
 //
-// What an endpoint gets in any four seconds from daemons that have passed on such an answer is no
-// more than one and a half times the rate's worth and five requests, from three seconds after it
-// first named the rate.
+// Checks for every window of four seconds, from three seconds after an endpoint first stated a
+// rate, that it gets no more than one and a half times what the rate allows, plus five requests,
+// from daemons that have forwarded an answer with the rate.
 
 #include <deque>
 #include <map>
@@ -18,8 +19,9 @@
 
 constexpr milliseconds step{10};
 constexpr milliseconds window{4'000};
-constexpr milliseconds grace{3'000}; // after a rate was first named
-constexpr milliseconds notice{500};  // until a daemon that has been told counts
+constexpr milliseconds grace{3'000}; // after a rate was first stated
+// Time until requests of a daemon that got the rate are checked.
+constexpr milliseconds tolerated_delay{500};
 constexpr double tolerated_excess = 1.5;
 constexpr double tolerated_requests = 5;
 
@@ -27,10 +29,11 @@
  protected:
   struct limited_endpoint {
     double rate = 0;
-    mono_time named_at;
-    std::map<std::size_t, mono_time> told; // by daemon
-    std::deque<mono_time> arrivals;        // in the window
-    std::size_t requests = 0;              // all
+    mono_time announced_at;
+    // For each daemon the time when it first forwarded an answer with the rate.
+    std::map<std::size_t, mono_time> told_daemons;
+    std::deque<mono_time> arrivals; // within the last `window`
+    std::size_t requests = 0;       // since the rate was first stated
   };
 
   void start(std::size_t daemons, std::size_t endpoints)
@@ -40,27 +43,27 @@
     run_for(3s);
   }
 
-  // The first `number` endpoints name a rate from now on.
-  void name_rate(std::size_t number, double rate)
+  // Makes the first `number` endpoints state a rate from now on.
+  void announce_rate(std::size_t number, double rate)
   {
     for (std::size_t n = 0; n < number; ++n) {
-      limited_[replayed_endpoint(n)] = {.rate = rate, .named_at = now_};
+      limited_[replayed_endpoint(n)] = {.rate = rate, .announced_at = now_};
     }
   }
 
-  // Plays calls that come at random, `rate` a second in the whole fleet.
-  void play(milliseconds time, double rate)
+  // Simulates the time with calls that arrive as a Poisson process, `rate` per second in the fleet.
+  void run_with_calls(milliseconds time, double rate)
   {
     std::poisson_distribution<int> number(rate * seconds(step).count());
     for (const auto end = now_ + time; now_ < end;) {
       run_for(step);
       for (int i = number(random_); i > 0; --i) {
-        play_call(random_() % daemons_.size());
+        run_call(random_() % daemons_.size());
       }
     }
   }
 
-  void play_call(std::size_t n)
+  void run_call(std::size_t n)
   {
     auto& d = *daemons_[n];
     if (!d.alive) {
@@ -78,19 +81,19 @@
       return;
     }
     ++served_;
-    arrive(n, chosen->id);
+    record_arrival(n, chosen->id);
     d.state.endpoints.on_first_token(chosen->work, now_);
     d.state.endpoints.on_finished(chosen->work, 10, now_);
     const auto it = limited_.find(chosen->id);
-    gateway::answer_terms said{.process = chosen->process(), .sent_at = now_, .is_signed = true};
+    gateway::answer_terms answer{.process = chosen->process(), .sent_at = now_, .is_signed = true};
     if (it != limited_.end()) {
-      said.terms.request_rate = it->second.rate;
-      it->second.told.try_emplace(n, now_);
+      answer.terms.request_rate = it->second.rate;
+      it->second.told_daemons.try_emplace(n, now_);
     }
-    d.state.take_answer(said, now_);
+    d.state.take_answer(answer, now_);
   }
 
-  void arrive(std::size_t n, const endpoint_id& id)
+  void record_arrival(std::size_t n, const endpoint_id& id)
   {
     const auto it = limited_.find(id);
     if (it == limited_.end()) {
@@ -98,8 +101,9 @@
     }
     auto& e = it->second;
     ++e.requests;
-    const auto told = e.told.find(n);
-    if (told == e.told.end() || told->second + notice > now_ || e.named_at + grace > now_) {
+    const auto first_told = e.told_daemons.find(n);
+    if (first_told == e.told_daemons.end() || first_told->second + tolerated_delay > now_ ||
+        e.announced_at + grace > now_) {
       return;
     }
     e.arrivals.push_back(now_);
@@ -110,12 +114,12 @@
     EXPECT_LE(static_cast<double>(e.arrivals.size()), allowed) << id.value();
   }
 
-  // The process of the daemon ends, and another one knows of no answer.
+  // Replaces the daemon by a new process, which has received no answers.
   void restart(std::size_t n)
   {
     restart_daemon(n);
     for (auto& [id, e] : limited_) {
-      e.told.erase(n);
+      e.told_daemons.erase(n);
     }
   }
 
@@ -133,114 +137,115 @@
   std::size_t refused_ = 0;
 };
 
-TEST_F(RateLimitReplayTest, AFewOfManyEndpointsGetTheirRateAndNoMore)
+TEST_F(RateLimitReplayTest, AFewLimitedEndpointsAmongManyGetTheirRateAndNoMore)
 {
   for (const std::size_t daemons : {3, 6, 60}) {
     limited_.clear();
     start(daemons, daemons + 3);
-    name_rate(2, 1.0);
-    play(20s, 7.0 * static_cast<double>(daemons));
-    EXPECT_LE(requests(), 2 * (20 + 5 + daemons)) << daemons; // one each until all have heard
+    announce_rate(2, 1.0);
+    run_with_calls(20s, 7.0 * static_cast<double>(daemons));
+    // Each daemon may send one request before it knows the rate.
+    EXPECT_LE(requests(), 2 * (20 + 5 + daemons)) << daemons;
   }
 }
 
 TEST_F(RateLimitReplayTest, IsKeptBy195Daemons)
 {
   start(195, 12);
-  name_rate(12, 1.0);
-  play(7s, 700);
+  announce_rate(12, 1.0);
+  run_with_calls(7s, 700);
 }
 
-TEST_F(RateLimitReplayTest, WhereAllNameARateItIsUsed)
+TEST_F(RateLimitReplayTest, MostOfTheRateIsUsedWhenAllEndpointsStateOne)
 {
   start(6, 9);
-  name_rate(9, 1.0);
-  play(5s, 45);
+  announce_rate(9, 1.0);
+  run_with_calls(5s, 45);
   const auto before = requests();
-  play(20s, 45);
+  run_with_calls(20s, 45);
   EXPECT_GE(requests() - before, 9U * 20 * 8 / 10);
 }
 
-TEST_F(RateLimitReplayTest, NobodyIsHeldWhereNothingMayBeSent)
+TEST_F(RateLimitReplayTest, CallsAreRefusedAtOnceWhenNothingMayBeSent)
 {
   start(6, 2);
-  name_rate(2, 0.5);
-  play(20s, 45);
+  announce_rate(2, 0.5);
+  run_with_calls(20s, 45);
   EXPECT_GT(refused_, 700U);
 }
 
-TEST_F(RateLimitReplayTest, IsKeptWhileDaemonsDieAndJoin)
+TEST_F(RateLimitReplayTest, IsKeptWhileDaemonsDieAndRestart)
 {
   for (const std::size_t daemons : {3, 6, 60}) {
     limited_.clear();
     start(daemons, 9);
-    name_rate(9, 1.6);
+    announce_rate(9, 1.6);
     for (int i = 0; i < 30; ++i) {
-      play(700ms, 7.0 * static_cast<double>(daemons));
+      run_with_calls(700ms, 7.0 * static_cast<double>(daemons));
       const auto n = random_() % daemons;
       daemons_[n]->alive = false;
-      play(300ms, 7.0 * static_cast<double>(daemons));
+      run_with_calls(300ms, 7.0 * static_cast<double>(daemons));
       restart(n);
     }
   }
 }
 
-TEST_F(RateLimitReplayTest, IsKeptWhereAllAreKilledAtOnce)
+TEST_F(RateLimitReplayTest, IsKeptWhenAllDaemonsAreKilledAtOnce)
 {
   start(60, 9);
-  name_rate(9, 1.0);
-  play(6s, 300);
+  announce_rate(9, 1.0);
+  run_with_calls(6s, 300);
   for (std::size_t n = 0; n < 60; ++n) {
     restart(n);
   }
-  play(10s, 300);
+  run_with_calls(10s, 300);
 }
 
-TEST_F(RateLimitReplayTest, IsKeptOnBothSidesOfACutAndAfterIt)
+TEST_F(RateLimitReplayTest, IsKeptDuringAndAfterANetworkPartition)
 {
   for (const std::size_t side : {1, 3, 5}) {
     limited_.clear();
     start(6, 9);
-    name_rate(9, 1.0);
-    play(6s, 45);
+    announce_rate(9, 1.0);
+    run_with_calls(6s, 45);
     hear_each_other_ = [side](std::size_t a, std::size_t b) { return (a < side) == (b < side); };
-    play(10s, 45);
+    run_with_calls(10s, 45);
     hear_each_other_ = [](std::size_t, std::size_t) { return true; };
-    play(6s, 45);
+    run_with_calls(6s, 45);
   }
 }
 
-TEST_F(RateLimitReplayTest, IsKeptThoughExchangesFail)
+TEST_F(RateLimitReplayTest, IsKeptThoughPeerExchangesFail)
 {
   loss_ = 0.3;
   start(60, 9);
-  name_rate(9, 2.5);
-  play(20s, 420);
+  announce_rate(9, 2.5);
+  run_with_calls(20s, 420);
 }
 
 TEST_F(RateLimitReplayTest, ARateThatChangesIsFollowed)
 {
   start(6, 9);
-  name_rate(9, 4.0);
-  play(8s, 60);
-  name_rate(9, 1.0);
+  announce_rate(9, 4.0);
+  run_with_calls(8s, 60);
+  announce_rate(9, 1.0);
   for (auto& [id, e] : limited_) {
     for (std::size_t n = 0; n < daemons_.size(); ++n) {
-      e.told[n] = now_; // whoever was told of the rate before is bound by the new one
+      e.told_daemons[n] = now_; // daemons that know the old rate must keep the new one
     }
   }
-  play(8s, 60);
+  run_with_calls(8s, 60);
 }
 
-TEST_F(RateLimitReplayTest, AllUseAnEndpointAgainThatNamesNoRateAnyMore)
+TEST_F(RateLimitReplayTest, AllDaemonsUseAnEndpointAgainOnceItStatesNoRate)
 {
   start(60, 3);
-  name_rate(3, 1.0);
-  play(8s, 300);
+  announce_rate(3, 1.0);
+  run_with_calls(8s, 300);
   limited_.clear();
-  play(5s, 300);
+  run_with_calls(5s, 300);
   refused_ = 0;
-  play(5s, 300);
+  run_with_calls(5s, 300);
   EXPECT_EQ(refused_, 0U);
 }
 
--- a/test/relay/rollout_process_test.cc
+++ b/test/relay/rollout_process_test.cc
@@ -15,7 +15,7 @@
   // Two daemons, and two endpoints of each version.
   void start()
   {
-    adjust_ = [this](settings& s) {
+    customize_settings_ = [this](settings& s) {
       s.cloud = store_.address(); // nobody there takes orders; the duties are held all the same
       s.trial_part = 0.5;
       s.trial_slack = 20;
--- a/test/relay/settings_test.cc
+++ b/test/relay/settings_test.cc
@@ -33,7 +33,7 @@
   return parse_settings(in, "file.ini");
 }
 
-// The message with which `text` is rejected.
+// The error message with which `text` is rejected; empty if it is accepted.
 std::string fault_of(const std::string& text)
 {
   try {
@@ -60,26 +60,26 @@
   EXPECT_EQ(s.drain_grace, 8s);
 }
 
-TEST(GatewaySettingsTest, HasDefaultsForWhatIsLeftOut)
+TEST(GatewaySettingsTest, HasDefaultsForMissingKeys)
 {
   const auto s = parse(sample);
   EXPECT_FALSE(s.cloud);
   EXPECT_EQ(s.usage_window, 5s);
 }
 
-TEST(GatewaySettingsTest, NamesAWrongAddress)
+TEST(GatewaySettingsTest, ReportsAnInvalidAddress)
 {
   EXPECT_EQ(fault_of(with("10.0.0.1:1", "here")),
             "file.ini: section [listen], key 'callers' = 'here': allowed: IP:port");
 }
 
-TEST(GatewaySettingsTest, NamesAMissingKey)
+TEST(GatewaySettingsTest, ReportsAMissingKey)
 {
   EXPECT_EQ(fault_of(with("id = front-1", "")),
             "file.ini: section [daemon], key 'id' = '': allowed: a name");
 }
 
-TEST(GatewaySettingsTest, NamesAWrongNumber)
+TEST(GatewaySettingsTest, ReportsAnInvalidNumber)
 {
   EXPECT_EQ(fault_of(with("ratio = 0.2", "ratio = -1")),
             "file.ini: section [retries], key 'ratio' = '-1': allowed: a number, 0 or more");
@@ -92,7 +92,7 @@
                    "docs/REFERENCE.md lists them");
 }
 
-TEST(GatewaySettingsTest, RejectsALogLevelThatDoesNotExist)
+TEST(GatewaySettingsTest, RejectsAnUnknownLogLevel)
 {
   const auto fault = fault_of(with("id = front-1", "id = front-1\nlog_level = loud"));
   EXPECT_NE(fault.find("key 'log_level' = 'loud': allowed: "), std::string::npos) << fault;
--- a/test/relay/start_test.cc
+++ b/test/relay/start_test.cc
@@ -1,6 +1,9 @@
-// How a daemon comes to know the endpoints when it starts. When all of 300 daemons before 3,002
-// endpoints were killed, it took 30 s until calls were served again: every one listed the endpoints
-// in seven pages that count towards the store's rate, and one page refused cost all of them again.
+// How a daemon reads the list of endpoints at its start.
+//
+// Guards against slow starts of a whole fleet. After all 300 daemons of a fleet with 3,002
+// endpoints were killed, calls were not served for 30 s: every daemon listed the endpoints in seven
+// pages, each page counts towards the store's rate limit, and a daemon with one refused page read
+// all pages again.
 
 #include <algorithm>
 
@@ -11,7 +14,7 @@
 
 class StartTest : public gateway_fixture {
  protected:
-  void expect_no_call_at(const fake_endpoint& e)
+  void expect_no_calls_to(const fake_endpoint& e)
   {
     for (int i = 0; i < 20; ++i) {
       EXPECT_EQ(call("GET", "/safe/1").status, 200);
@@ -20,18 +23,18 @@
   }
 };
 
-TEST_F(StartTest, WhatAStaleListLacksIsReadBeforeACallIsSent)
+TEST_F(StartTest, ReadsChangesMissingFromAStaleListBeforeItSendsACall)
 {
   add_endpoint("i-1");
-  auto& leaves = add_endpoint("i-2");
+  auto& draining = add_endpoint("i-2");
   store_.freeze_stale_lists();
-  write_endpoint(leaves, "draining");
+  write_endpoint(draining, "draining");
   start_gateway(store_);
   wait_until_ready();
-  expect_no_call_at(leaves);
+  expect_no_calls_to(draining);
 }
 
-TEST_F(StartTest, AnEndpointThatCameAfterAStaleListIsUsed)
+TEST_F(StartTest, UsesAnEndpointAddedAfterAStaleList)
 {
   store_.freeze_stale_lists();
   auto& newer = add_endpoint("i-1");
@@ -41,23 +44,23 @@
   EXPECT_EQ(newer.received.size(), 1U);
 }
 
-TEST_F(StartTest, WhatAStaleListLacksIsReadInAsManyAnswersAsItTakes)
+TEST_F(StartTest, ReadsChangesMissingFromAStaleListOverSeveralPages)
 {
   add_endpoint("i-1");
-  auto& leaves = add_endpoint("i-2");
+  auto& draining = add_endpoint("i-2");
   store_.freeze_stale_lists();
   store_.page_size = 100;
   constexpr int other_changes = 250;
   for (int i = 0; i < other_changes; ++i) {
     store_.put("servers", "x-" + std::to_string(i), {{"service", "other"}});
   }
-  write_endpoint(leaves, "draining");
+  write_endpoint(draining, "draining");
   start_gateway(store_);
   wait_until_ready();
-  expect_no_call_at(leaves);
+  expect_no_calls_to(draining);
 }
 
-TEST_F(StartTest, AListGoesOnAtThePageThatWasRefused)
+TEST_F(StartTest, ContinuesAListAtThePageThatWasRefused)
 {
   constexpr std::size_t endpoints = 6;
   for (std::size_t i = 0; i < endpoints; ++i) {
@@ -70,8 +73,8 @@
   }
   start_gateway(store_);
   wait_until_ready();
-  // Every page once, and the refused calls: had each refusal cost the list, it would not have
-  // ended.
+  // Every page is read once, plus one call for each refusal. If each refusal restarted the list, it
+  // would never be complete.
   const auto refused = std::count(store_.refused_lists.begin(), store_.refused_lists.end(), true);
   EXPECT_LE(store_.lists, endpoints + 6 + static_cast<std::size_t>(refused));
 }
