--- a/bench/gateway_control_bench.cc
+++ b/bench/gateway_control_bench.cc
@@ -26,7 +26,7 @@
 constexpr unsigned workspaces = 19;
 constexpr unsigned windows = 3;
 constexpr unsigned departures = 20;
-constexpr std::size_t report_limit = std::size_t{1} << 20U;
+constexpr std::size_t max_report_bytes = std::size_t{1} << 20U;
 
 daemon_id daemon_name(unsigned n)
 {
@@ -122,7 +122,7 @@
     return static_cast<gateway::usage_window>(to_unix_ms(now_.wall) / 5'000);
   }
 
-  void hear(unsigned n) { state_.absorb(report_of(n), now_); }
+  void hear(unsigned n) { state_.merge_report(report_of(n), now_); }
 
   unsigned daemons_;
   unsigned told_ = 0;
@@ -158,7 +158,7 @@
   known_fleet fleet(static_cast<unsigned>(state.range(0)));
   const auto packed = deflate(encode_peer_report(fleet.report_of(3)));
   for (auto _ : state) {
-    benchmark::DoNotOptimize(gateway::decode_peer_report(inflate(packed, report_limit)));
+    benchmark::DoNotOptimize(gateway::decode_peer_report(inflate(packed, max_report_bytes)));
   }
   state.counters["bytes"] = static_cast<double>(packed.size());
 }
--- a/src/relay/attempt.cc
+++ b/src/relay/attempt.cc
@@ -47,7 +47,7 @@
       silence_timer_(context), sent_at_(std::chrono::steady_clock::now()),
       last_received_at_(sent_at_)
 {
-  if (state_.has_rollouts()) {
+  if (state_.rollouts_enabled()) {
     state_.version_calls.on_sent(placement());
   }
   result_.endpoint = endpoint_.process();
@@ -173,7 +173,7 @@
 
 void attempt::end_version_call(const gateway::call_outcome& outcome)
 {
-  if (state_.has_rollouts()) {
+  if (state_.rollouts_enabled()) {
     state_.version_calls.on_ended(placement(), outcome);
   }
 }
@@ -206,7 +206,7 @@
 {
   if (state_.endpoints.on_failure(endpoint_.id, kind, now)) {
     if (kind == gateway::endpoint_failure::unreachable) {
-      state_.announce_news(); // spares the other daemons a timeout each
+      state_.signal_urgent_update(); // spares the other daemons a timeout each
     }
     state_.log.write(daemon::log_level::warn, "endpoint left out",
                      {{"endpoint", endpoint_.id.value()},
@@ -245,11 +245,11 @@
                       {"endpoint", endpoint_.id.value()},
                       {"statement", text}});
   }
-  state_.take_answer({.process = endpoint_.process(),
-                      .terms = terms,
-                      .sent_at = sent_at_,
-                      .is_signed = head_.has_signature},
-                     last_received_at_);
+  state_.apply_answer_terms({.process = endpoint_.process(),
+                             .terms = terms,
+                             .sent_at = sent_at_,
+                             .is_signed = head_.has_signature},
+                            last_received_at_);
 }
 
 asio::awaitable<void> attempt::on_body_bytes(std::string_view bytes, http::response_writer& writer)
--- a/src/relay/call_relay.cc
+++ b/src/relay/call_relay.cc
@@ -104,7 +104,7 @@
   if (auto why = check_hold(call)) {
     return *why;
   }
-  const auto leaving = state_.leaving_since();
+  const auto leaving = state_.draining_since();
   const bool stream = call.route->kind == gateway::call_kind::stream;
   if (leaving && stream && now > *leaving + stream_cutoff_after_drain) {
     return call_refusal{http::status::unavailable, "this daemon is about to end",
--- a/src/relay/crash_store.cc
+++ b/src/relay/crash_store.cc
@@ -46,7 +46,7 @@
       succeeded = co_await read_holds();
     }
     // The coordinators are computed from all live peers, so this is checked last.
-    if (succeeded && has_pending_writes() && state_.leads(now)) {
+    if (succeeded && has_pending_writes() && state_.is_coordinator(now)) {
       succeeded = co_await write_holds();
       succeeded = succeeded && co_await remove_expired_holds();
     }
@@ -70,18 +70,19 @@
 {
   const auto listing = co_await list_objects(store_, state_, hold_kind, adapter::list_age::current);
   const auto now = std::chrono::steady_clock::now();
-  const auto period = state_.leads(now) ? coordinator_read_period
-                                        : std::clamp(state_.call_period(reads_per_second),
-                                                     coordinator_read_period, max_read_period);
+  const auto period = state_.is_coordinator(now)
+                          ? coordinator_read_period
+                          : std::clamp(state_.call_period(reads_per_second),
+                                       coordinator_read_period, max_read_period);
   next_read_at_ = now + period;
-  initial_read_done_ = initial_read_done_ || listing.whole;
+  initial_read_done_ = initial_read_done_ || listing.is_complete;
   for (const auto& item : listing.items) {
     const auto crash_count = merge(item.name, item.spec);
     if (const auto content = gateway::parse_content_id(item.name)) {
       stored_crash_counts_[*content] = crash_count;
     }
   }
-  co_return listing.whole;
+  co_return listing.is_complete;
 }
 
 std::size_t crash_store::merge(const std::string& name, const boost::json::value& spec)
--- a/src/relay/crash_watch.cc
+++ b/src/relay/crash_watch.cc
@@ -62,7 +62,7 @@
                     {"incarnation", std::to_string(result.endpoint.incarnation)},
                     {"answer_begun", result.response_started ? "yes" : "no"},
                     {"suspect_in", std::to_string(state_.crashes.times_suspected(call.content))}});
-  state_.announce_news(); // the next request with this content may reach any daemon
+  state_.signal_urgent_update(); // the next request with this content may reach any daemon
 }
 
 std::optional<gateway::content_hold> crash_detector::active_hold(const admitted_call& call)
@@ -77,7 +77,7 @@
 bool crash_detector::is_hold_probe_due(const gateway::content_id& content, wall_time try_at)
 {
   std::erase_if(active_hold_probes_, [](const auto& it) { return it.second.expired(); });
-  return try_at <= state_.fleet_time() && state_.tries_held(content) &&
+  return try_at <= state_.fleet_time() && state_.probes_held_content(content) &&
          !active_hold_probes_.contains(content);
 }
 
--- a/src/relay/duties.cc
+++ b/src/relay/duties.cc
@@ -26,13 +26,15 @@
 constexpr milliseconds usage_check_period{500};
 constexpr milliseconds planning_period{500};
 constexpr milliseconds store_timeout{1'000};
-// Within the time for which the lease spares a new holder; see lease_keeper.
+// Shorter than the time that a new leader waits for the last calls of the previous one; see
+// order_timeout in lease_keeper.cc.
 constexpr milliseconds cloud_timeout{900};
-// After a window's end its counts are still on their way from the other daemons: each has to report
-// once more, or half of the time until the report is due has passed.
-constexpr milliseconds counts_settle{1'000};
-// A report may have been made this long before it came.
-constexpr milliseconds last_count_delay{300};
+// Counts of a window still arrive from other daemons after the window has ended. They are taken as
+// complete when this time has passed and either every daemon has reported once more or half of the
+// usage deadline has passed.
+constexpr milliseconds min_count_settle_time{1'000};
+// A report describes a state up to this long before its arrival.
+constexpr milliseconds max_report_delay{300};
 
 json::value encode(const gateway::window_counts& counts)
 {
@@ -52,10 +54,11 @@
   return out;
 }
 
-// Endpoints are known in steps as far apart as this daemon reads the store or hears of others'
-// readings, up to six tenths of the notice that an endpoint gives: a first part is not to be taken
-// for the whole fleet, since orders by it give the rest back.
-milliseconds settle_time_of(const settings& s)
+// A new leader learns of the endpoints in steps: the interval between two reads of the store, by
+// this daemon or by a peer that reports what it read, is up to six tenths of the endpoint notice.
+// Planning from a partial view would order endpoints for the missing part only to give the rest
+// back, so the planner settles first.
+milliseconds planner_settle_time(const settings& s)
 {
   return std::max(gateway::scaling_planner_options{}.settle_time, s.endpoint_notice);
 }
@@ -67,24 +70,24 @@
 
 } // namespace
 
-duties::duties(asio::io_context& context, fleet_state& state, store_client& store)
+leader_duties::leader_duties(asio::io_context& context, fleet_state& state, store_client& store)
     : context_(context), state_(state), store_(store),
       client_(context, {.connect_timeout = cloud_timeout, .repeat_stale_get = false}),
-      lease_(context, state, store), planner_({.settle_time = settle_time_of(state.options)})
+      lease_(context, state, store), planner_({.settle_time = planner_settle_time(state.options)})
 {
 }
 
-void duties::start()
+void leader_duties::start()
 {
   if (!state_.options.cloud) {
     return;
   }
-  asio::co_spawn(context_, keep_lease(), asio::detached);
+  asio::co_spawn(context_, maintain_lease(), asio::detached);
   asio::co_spawn(context_, report_usage(), asio::detached);
-  asio::co_spawn(context_, order_endpoints(), asio::detached);
+  asio::co_spawn(context_, run_scaling(), asio::detached);
 }
 
-asio::awaitable<void> duties::keep_lease()
+asio::awaitable<void> leader_duties::maintain_lease()
 {
   for (;;) {
     lease_.tick();
@@ -92,12 +95,12 @@
   }
 }
 
-adapter::duty_stamp duties::stamp() const
+adapter::duty_stamp leader_duties::stamp() const
 {
   return {.holder = state_.options.id, .fencing_number = lease_.fencing_number()};
 }
 
-asio::awaitable<std::optional<int>> duties::call_cloud(http::request message)
+asio::awaitable<std::optional<int>> leader_duties::call_cloud(http::request message)
 {
   const auto target = message.target;
   try {
@@ -114,64 +117,66 @@
   }
 }
 
-asio::awaitable<void> duties::report_usage()
+asio::awaitable<void> leader_duties::report_usage()
 {
   for (;;) {
     co_await async_sleep(usage_check_period);
-    if (!lease_.may_act()) {
+    if (!lease_.holds_lease()) {
       continue;
     }
     const auto now = state_.clock.now(read_clocks());
     const auto current = state_.usage.window_at(now);
-    // The report before the last may still be due when the duty has just moved here.
+    // A daemon that has just become leader may still have to report the window before the last one.
     for (auto window = current - 2; window < current; ++window) {
       const auto end = state_.usage.end_of(window);
-      const bool due = counts_are_in(now - end) && now < end + state_.options.usage_deadline;
-      if (due && !reported_.contains(window)) {
+      const bool due = counts_are_complete(now - end) && now < end + state_.options.usage_deadline;
+      if (due && !reported_windows_.contains(window)) {
         co_await report_window(window);
       }
     }
   }
 }
 
-// Whether the counts of a window that ended `ago` can be taken for whole.
-bool duties::counts_are_in(milliseconds ago) const
+// Returns whether the counts of a window that ended `ago` milliseconds ago can be taken as
+// complete.
+bool leader_duties::counts_are_complete(milliseconds ago) const
 {
-  if (ago < counts_settle) {
+  if (ago < min_count_settle_time) {
     return false;
   }
   const auto now = std::chrono::steady_clock::now();
   const auto ended_at = now - ago;
-  return state_.peers.all_reported_since(ended_at + last_count_delay, now) ||
+  return state_.peers.all_reported_since(ended_at + max_report_delay, now) ||
          ago >= state_.options.usage_deadline / 2;
 }
 
-asio::awaitable<void> duties::report_window(gateway::usage_window window)
+asio::awaitable<void> leader_duties::report_window(gateway::usage_window window)
 {
-  const auto counts = co_await settle_counts(window);
-  if (!counts || !lease_.may_act()) {
+  const auto counts = co_await persist_counts(window);
+  if (!counts || !lease_.holds_lease()) {
     co_return;
   }
   auto message = adapter::usage_call(stamp(), window, *counts);
   const auto status = co_await call_cloud(std::move(message));
   if (status != http::status::ok) {
-    co_return; // sent again, with the same counts
+    co_return; // retried on the next check, with the same stored counts
   }
-  reported_.insert(window);
+  reported_windows_.insert(window);
   state_.log.write(
       daemon::log_level::info, "usage reported",
       {{"window", std::to_string(window)}, {"workspaces", std::to_string(counts->size())}});
-  // Nothing expires by itself. Four windows later nobody reports this one any more.
-  constexpr gateway::usage_window kept = 4;
-  if (reported_.contains(window - kept)) {
-    reported_.erase(window - kept);
-    auto remove = adapter::remove_call(usage_kind, object_name(window - kept));
+  // The store keeps objects until they are removed. Four windows later no daemon reports this
+  // window any more.
+  constexpr gateway::usage_window retained_windows = 4;
+  if (reported_windows_.contains(window - retained_windows)) {
+    reported_windows_.erase(window - retained_windows);
+    auto remove = adapter::remove_call(usage_kind, object_name(window - retained_windows));
     co_await store_.call(std::move(remove), "usage", store_timeout);
   }
 }
 
 asio::awaitable<std::optional<gateway::window_counts>>
-duties::settle_counts(gateway::usage_window window)
+leader_duties::persist_counts(gateway::usage_window window)
 {
   auto counts = state_.usage.total(window);
   auto message = adapter::create_call(usage_kind, object_name(window), encode(counts));
@@ -180,7 +185,7 @@
     co_return counts;
   }
   if (reply.result != adapter::store_result::conflict) {
-    co_return std::nullopt; // perhaps written: the next try finds it
+    co_return std::nullopt; // the write may have been done; the next attempt then finds it
   }
   try {
     co_return decode(adapter::decode_object(reply.body).spec);
@@ -191,12 +196,12 @@
   }
 }
 
-gateway::scaling_input duties::scaling_of(const gateway::service_definition& s) const
+gateway::scaling_input leader_duties::scaling_input_for(const gateway::service_definition& s) const
 {
   gateway::scaling_input out{.service = s.name, .limits = *s.scaling};
   const auto* order = state_.rollouts.find(s.name);
   for (const auto* e : state_.endpoints.serving(s.name)) {
-    // Both versions stand side by side; only one of them carries the traffic.
+    // During a roll-out both versions run; only one of them carries the traffic.
     if (order != nullptr && !gateway::carries_traffic(*order, e->version)) {
       continue;
     }
@@ -206,16 +211,16 @@
   return out;
 }
 
-asio::awaitable<void> duties::order_endpoints()
+asio::awaitable<void> leader_duties::run_scaling()
 {
-  bool acted = false;
+  bool was_leader = false;
   for (;;) {
     co_await async_sleep(planning_period);
-    if (!lease_.may_act() || !state_.endpoints.has_list()) {
-      acted = false;
+    if (!lease_.holds_lease() || !state_.endpoints.has_list()) {
+      was_leader = false;
       continue;
     }
-    if (!std::exchange(acted, true)) {
+    if (!std::exchange(was_leader, true)) {
       planner_.forget_orders();
     }
     const auto configuration = state_.configuration();
@@ -224,8 +229,8 @@
         continue;
       }
       const auto now = std::chrono::steady_clock::now();
-      for (const auto& order : planner_.plan(scaling_of(s), now)) {
-        if (lease_.may_act()) {
+      for (const auto& order : planner_.plan(scaling_input_for(s), now)) {
+        if (lease_.holds_lease()) {
           co_await send_order(order);
         }
       }
@@ -233,7 +238,7 @@
   }
 }
 
-asio::awaitable<void> duties::send_order(gateway::endpoint_order order)
+asio::awaitable<void> leader_duties::send_order(gateway::endpoint_order order)
 {
   auto message = adapter::order_call(stamp(), order);
   const auto status = co_await call_cloud(std::move(message));
--- a/src/relay/duties.h
+++ b/src/relay/duties.h
@@ -1,4 +1,5 @@
-// What one daemon at a time does for the whole fleet: reports usage and orders endpoints.
+// Work that only the leader of the fleet, the holder of the lease, does for all daemons: it reports
+// usage to the platform and orders endpoints from it.
 
 #ifndef WISTERIAFLOW_SRC_RELAY_DUTIES_H_
 #define WISTERIAFLOW_SRC_RELAY_DUTIES_H_
@@ -18,26 +19,29 @@
 
 namespace wisteriaflow::relay {
 
-// Not thread-safe.
-class duties {
+// Runs the leader's work while this daemon holds the lease. Not thread-safe.
+class leader_duties {
  public:
-  duties(boost::asio::io_context& context, fleet_state& state, store_client& store);
+  leader_duties(boost::asio::io_context& context, fleet_state& state, store_client& store);
 
-  // Starts to compete for the lease and to act while it is held. Never ends.
+  // Starts the coroutines that compete for the lease and, while it is held, act. They never end.
+  // Does nothing if the settings name no platform API.
   void start();
 
  private:
-  boost::asio::awaitable<void> keep_lease();
+  boost::asio::awaitable<void> maintain_lease();
   boost::asio::awaitable<void> report_usage();
-  [[nodiscard]] bool counts_are_in(std::chrono::milliseconds ago) const;
+  [[nodiscard]] bool counts_are_complete(std::chrono::milliseconds ago) const;
   boost::asio::awaitable<void> report_window(gateway::usage_window window);
-  // The counts as they are written in the store: those of the first daemon that wrote them.
+  // Stores the counts of a window and returns them, or those that an earlier leader has stored:
+  // every report of a window has the same counts. Returns nullopt if the store did not answer.
   boost::asio::awaitable<std::optional<gateway::window_counts>>
-  settle_counts(gateway::usage_window window);
-  boost::asio::awaitable<void> order_endpoints();
+  persist_counts(gateway::usage_window window);
+  boost::asio::awaitable<void> run_scaling();
   boost::asio::awaitable<void> send_order(gateway::endpoint_order order);
-  [[nodiscard]] gateway::scaling_input scaling_of(const gateway::service_definition& s) const;
-  // Makes one call to the platform; the status, or nothing without an answer.
+  [[nodiscard]] gateway::scaling_input
+  scaling_input_for(const gateway::service_definition& s) const;
+  // Sends one call to the platform API. Returns the status, or nullopt if there was no answer.
   boost::asio::awaitable<std::optional<int>> call_cloud(http::request message);
   [[nodiscard]] adapter::duty_stamp stamp() const;
 
@@ -47,7 +51,7 @@
   http::client client_;
   lease_keeper lease_;
   gateway::scaling_planner planner_;
-  std::set<gateway::usage_window> reported_;
+  std::set<gateway::usage_window> reported_windows_;
 };
 
 } // namespace wisteriaflow::relay
--- a/src/relay/fleet_state.cc
+++ b/src/relay/fleet_state.cc
@@ -14,43 +14,45 @@
 namespace wisteriaflow::relay {
 namespace {
 
-// A clock reading of a peer counts for this long: several reports.
+// A peer's clock reading is used for this long, the time of several reports.
 constexpr std::chrono::milliseconds clock_reading_valid{4'000};
 
-// Windows of usage that are kept: a report is due two windows after its end, and a duty that moves
-// to another daemon may be one lease later.
+// Number of usage windows kept: a report is due two windows after the end of its window, and a new
+// leader may send it one lease duration later.
 constexpr gateway::usage_window usage_windows_kept = 5;
 
-// Bounds of a report. With the ages of a few peers only, live daemons of a large fleet would be
-// taken for silent, and owners of rates change with them. Work is passed on of those of whom there
-// is the latest news: a daemon's own reports reach all others too seldom to count.
-constexpr std::size_t contacts_told = 8;
-constexpr std::size_t peers_relayed = 24;
-constexpr std::size_t ages_told = 512;
-// Endpoints at which work is told, those with the most first: of the sender's own, and of all peers
-// together whose work is passed on. Where daemons have calls at hundreds of endpoints, the rest is
-// a call here and there, and over before it is heard of.
-constexpr std::size_t own_work_told = 48;
-constexpr std::size_t relayed_work_told = 192;
-// In a fleet of so many peers each is heard in each round, and there is nothing to pass on.
-constexpr std::size_t peers_heard_directly = gateway::gossip_scheduler_options{}.full_mesh_limit;
-// Daemons that do something for all: compete for the duties, read the endpoints in the store, and
-// look after the configuration. Two of them may fall out at once.
-constexpr std::size_t lead_number = 3;
-constexpr std::string_view lead_job = "duties";
-// Daemons whose reports one can take in every 0.8 s beside its other work.
-constexpr std::size_t most_heard_by_one = 100;
-// Endpoints whose terms are told in one report; with more of them they take turns.
-constexpr std::size_t terms_told = 32;
-constexpr std::size_t usage_rows_told = 16; // of daemons that fell silent
-
-// Of what a version on trial may get. The rest is for calls that the platform counts otherwise, as
-// those of daemons that die with them.
+// Limits of one report. max_report_ages is high because, with the ages of only a few peers, live
+// daemons of a large fleet would be considered silent, and the ownership of rate limits would move
+// with them. Work is relayed for the peers with the most recent reports: in a large fleet a
+// daemon's own reports reach the others too rarely to be useful.
+constexpr std::size_t max_contacts_per_report = 8;
+constexpr std::size_t max_relayed_peers = 24;
+constexpr std::size_t max_report_ages = 512;
+// Maximum number of endpoints whose work is reported, those with the most work first: for the
+// sender itself, and for all relayed peers together. Where daemons have calls at hundreds of
+// endpoints, the others have a call now and then, which has ended before the report arrives.
+constexpr std::size_t max_own_work_entries = 48;
+constexpr std::size_t max_relayed_work_entries = 192;
+// Up to this number of peers, every daemon exchanges reports with every other one in each round, so
+// nothing needs to be relayed.
+constexpr std::size_t max_full_mesh_peers = gateway::gossip_scheduler_options{}.full_mesh_limit;
+// Number of coordinators: daemons that compete for the lease, read the endpoints from the store and
+// watch the configuration for the fleet. Two of them may fail at the same time.
+constexpr std::size_t coordinator_count = 3;
+constexpr std::string_view coordinator_rank_key = "duties";
+// Number of daemons whose reports one daemon can process every 0.8 s beside its other work.
+constexpr std::size_t max_reporters_per_collector = 100;
+// Endpoints whose terms one report contains; if there are more, they alternate.
+constexpr std::size_t max_terms_per_report = 32;
+constexpr std::size_t max_usage_rows = 16; // rows of daemons that are silent
+
+// Fractions of the limits for a version on trial that the fleet uses. The rest covers calls that
+// the platform counts differently, such as calls of a daemon that crashed before it reported them.
 constexpr double trial_margin = 0.8;
 constexpr double trial_slack_margin = 0.5;
 
-// Of the peers that do not leave.
-std::vector<daemon_id> ids_of_staying(const std::vector<gateway::daemon_contact>& live)
+// Returns the ids of the peers that are not draining.
+std::vector<daemon_id> ids_of_non_draining(const std::vector<gateway::daemon_contact>& live)
 {
   std::vector<daemon_id> out;
   for (const auto& peer : live) {
@@ -102,11 +104,12 @@
   return configuration_ ? configuration_->version() : 0;
 }
 
-void fleet_state::offer_configuration(const boost::json::value& document, std::string_view source)
+void fleet_state::apply_configuration_if_newer(const boost::json::value& document,
+                                               std::string_view source)
 {
   gateway::configuration declared;
   try {
-    // Most documents are known already; reading one whole takes milliseconds here.
+    // Most documents are already in force, and decoding a whole one takes milliseconds here.
     if (adapter::decode_version(document) <= configuration_version()) {
       return;
     }
@@ -128,29 +131,29 @@
              {"version_before", std::to_string(before)},
              {"source", std::string(source)},
              {"routes", std::to_string(configuration_->declared().routes.size())}});
-  announce_news();
+  signal_urgent_update();
 }
 
-void fleet_state::announce_news() const
+void fleet_state::signal_urgent_update() const
 {
-  if (on_news_) {
-    on_news_();
+  if (on_urgent_update_) {
+    on_urgent_update_();
   }
 }
 
-void fleet_state::leave(mono_time now)
+void fleet_state::begin_drain(mono_time now)
 {
-  if (leaving_since_) {
+  if (draining_since_) {
     return;
   }
-  leaving_since_ = now;
-  announce_news();
+  draining_since_ = now;
+  signal_urgent_update();
 }
 
 bool fleet_state::is_ready() const
 {
-  const bool knows_rollouts = !has_rollouts() || versions.rollouts_revision() > 0;
-  return knows_rollouts && configuration_ && endpoints.has_list() && !leaving_since_;
+  const bool rollouts_known = !rollouts_enabled() || versions.rollouts_revision() > 0;
+  return rollouts_known && configuration_ && endpoints.has_list() && !draining_since_;
 }
 
 std::uint64_t fleet_state::seed() const
@@ -166,41 +169,42 @@
           .caller_address = options.callers,
           .zone = options.zone,
           .ready = is_ready(),
-          .leaving = leaving_since_.has_value(),
-          .acting = acting_};
+          .leaving = draining_since_.has_value(),
+          .acting = is_leader_};
 }
 
-bool fleet_state::set_acting(bool acting)
+bool fleet_state::set_leader(bool leader)
 {
-  const bool changed = std::exchange(acting_, acting) != acting;
+  const bool changed = std::exchange(is_leader_, leader) != leader;
   if (changed) {
-    announce_news();
+    signal_urgent_update();
   }
   return changed;
 }
 
-bool fleet_state::leads(mono_time now) const
+bool fleet_state::is_coordinator(mono_time now) const
 {
-  const auto staying = ids_of_staying(peers.live(now));
-  return acting_ || rendezvous_rank(hash64_of(lead_job), options.id, staying) < lead_number;
+  const auto non_draining = ids_of_non_draining(peers.live(now));
+  return is_leader_ || rendezvous_rank(hash64_of(coordinator_rank_key), options.id, non_draining) <
+                           coordinator_count;
 }
 
-bool fleet_state::tries_held(const gateway::content_id& content) const
+bool fleet_state::probes_held_content(const gateway::content_id& content) const
 {
-  const auto staying = ids_of_staying(peers.live(std::chrono::steady_clock::now()));
-  return rendezvous_rank(content.hash.low, options.id, staying) == 0;
+  const auto non_draining = ids_of_non_draining(peers.live(std::chrono::steady_clock::now()));
+  return rendezvous_rank(content.hash.low, options.id, non_draining) == 0;
 }
 
-// The holder of the duties may be none of the first: it took them when few were known, and keeps
-// them.
-std::vector<http::socket_address> fleet_state::other_leads(mono_time now) const
+// The leader need not be among the highest ranked daemons: it may have taken the lease when few
+// daemons were known, and it keeps it.
+std::vector<http::socket_address> fleet_state::other_coordinators(mono_time now) const
 {
   struct candidate {
     bool acting = false;
     std::uint64_t score = 0;
     http::socket_address address;
   };
-  const auto key = hash64_of(lead_job);
+  const auto key = hash64_of(coordinator_rank_key);
   std::vector<candidate> ranked;
   for (auto& peer : peers.live(now)) {
     if (!peer.leaving) {
@@ -209,11 +213,12 @@
                         .address = std::move(peer.peer_address)});
     }
   }
-  auto number = std::min(lead_number, ranked.size());
-  const bool one_collects = rollout_is_open() && ranked.size() <= most_heard_by_one;
-  if (one_collects &&
+  auto number = std::min(coordinator_count, ranked.size());
+  const bool has_single_collector =
+      rollout_is_open() && ranked.size() <= max_reporters_per_collector;
+  if (has_single_collector &&
       std::any_of(ranked.begin(), ranked.end(), [](const candidate& c) { return c.acting; })) {
-    number = 1; // it has to hear soon of calls that go badly on a version on trial
+    number = 1; // the leader must learn quickly of failed calls to a version on trial
   }
   std::partial_sort(ranked.begin(), ranked.begin() + static_cast<std::ptrdiff_t>(number),
                     ranked.end(), [](const candidate& a, const candidate& b) {
@@ -226,32 +231,32 @@
   return out;
 }
 
-void fleet_state::take_endpoint(const gateway::endpoint_record& record, mono_time now)
+void fleet_state::apply_endpoint(const gateway::endpoint_record& record, mono_time now)
 {
   endpoints.apply(record, now);
   feed.update(record);
 }
 
-void fleet_state::take_departures(const std::vector<gateway::endpoint_departure>& told,
-                                  mono_time now)
+void fleet_state::apply_departures(const std::vector<gateway::endpoint_departure>& departures,
+                                   mono_time now)
 {
-  bool news = false;
-  for (const auto& d : told) {
+  bool changed = false;
+  for (const auto& d : departures) {
     if (endpoints.on_departure(d, now)) {
       feed.on_departure(d);
-      news = true;
+      changed = true;
     }
   }
-  if (news) {
-    announce_news();
+  if (changed) {
+    signal_urgent_update();
   }
 }
 
-void fleet_state::take_answer(const gateway::answer_terms& said, mono_time now)
+void fleet_state::apply_answer_terms(const gateway::answer_terms& answered, mono_time now)
 {
-  if (endpoints.on_answer(said, now) == gateway::terms_action::gossip) {
-    log_terms(said.process.id, said.terms.leaving, said.terms.request_rate, "answer");
-    announce_news();
+  if (endpoints.on_answer(answered, now) == gateway::terms_action::gossip) {
+    log_terms(answered.process.id, answered.terms.leaving, answered.terms.request_rate, "answer");
+    signal_urgent_update();
   }
 }
 
@@ -265,24 +270,24 @@
              {"source", std::string(source)}});
 }
 
-void fleet_state::take_terms(const gateway::peer_report& told, mono_time now)
+void fleet_state::apply_peer_terms(const gateway::peer_report& received, mono_time now)
 {
-  bool news = false;
-  for (const auto& t : told.terms) {
+  bool changed = false;
+  for (const auto& t : received.terms) {
     const auto step = endpoints.on_peer_terms(t, now);
     if (step == gateway::terms_action::gossip) {
       log_terms(t.process.id, t.leaving, t.request_rate, "peer");
-      news = true;
+      changed = true;
     }
     if (step == gateway::terms_action::reject) {
       log.write(daemon::log_level::warn, "terms told by a peer not believed",
-                {{"peer", told.self.id.value()},
+                {{"peer", received.self.id.value()},
                  {"endpoint", t.process.id.value()},
                  {"request_rate", std::to_string(t.request_rate.value_or(0))}});
     }
   }
-  if (news) {
-    announce_news();
+  if (changed) {
+    signal_urgent_update();
   }
 }
 
@@ -292,7 +297,7 @@
                      [](const auto& it) { return gateway::is_open(it.second.latest); });
 }
 
-void fleet_state::follow_rollouts()
+void fleet_state::on_rollouts_changed()
 {
   version_calls.update_orders(rollouts);
   endpoints.reapply_usable_filter();
@@ -301,20 +306,20 @@
     orders.push_back(e.latest.order);
   }
   rollout_rows.retain(orders);
-  announce_news();
+  signal_urgent_update();
 }
 
-void fleet_state::take_rollout(const gateway::rollout& known)
+void fleet_state::apply_rollout(const gateway::rollout& rollout)
 {
-  if (rollouts.update(known)) {
-    follow_rollouts();
+  if (rollouts.update(rollout)) {
+    on_rollouts_changed();
   }
 }
 
 void fleet_state::withdraw_rollout(std::string_view service, std::uint64_t revision)
 {
   if (rollouts.withdraw(service, revision)) {
-    follow_rollouts();
+    on_rollouts_changed();
   }
 }
 
@@ -341,11 +346,11 @@
           .peers_relay_store = !live_peers_.empty() && !feed.is_reader() && is_ready()};
 }
 
-std::vector<gateway::daemon_contact> fleet_state::contacts_to_tell(mono_time now)
+std::vector<gateway::daemon_contact> fleet_state::next_contacts(mono_time now)
 {
   const auto live = peers.live(now);
   std::vector<gateway::daemon_contact> out;
-  for (std::size_t i = 0; i < std::min(contacts_told, live.size()); ++i) {
+  for (std::size_t i = 0; i < std::min(max_contacts_per_report, live.size()); ++i) {
     out.push_back(live[next_contact_++ % live.size()]);
   }
   return out;
@@ -354,17 +359,17 @@
 std::vector<gateway::relayed_peer> fleet_state::relayed_peers(mono_time now) const
 {
   std::vector<gateway::relayed_peer> out;
-  if (live_peers_.size() <= peers_heard_directly) {
+  if (live_peers_.size() <= max_full_mesh_peers) {
     return out;
   }
-  const auto latest = peers.most_recent(peers_relayed, now);
-  const auto for_each = relayed_work_told / std::max<std::size_t>(1, latest.size());
+  const auto latest = peers.most_recent(max_relayed_peers, now);
+  const auto entries_per_peer = max_relayed_work_entries / std::max<std::size_t>(1, latest.size());
   for (const auto& peer : latest) {
     const auto age = std::chrono::ceil<std::chrono::milliseconds>(now - peer.as_of);
     const auto& id = peer.contact.id;
     out.push_back({.contact = peer.contact,
                    .age = age,
-                   .work = top_endpoints(endpoints.peers().work_of(id), for_each),
+                   .work = top_endpoints(endpoints.peers().work_of(id), entries_per_peer),
                    .prefill = endpoints.peers().prefill_of(id)});
   }
   return out;
@@ -385,12 +390,12 @@
   return out;
 }
 
-void fleet_state::add_what_is_known_of_others(gateway::peer_report& to, mono_time now)
+void fleet_state::add_known_peers(gateway::peer_report& to, mono_time now)
 {
-  to.last_seen = peers.most_recently_seen(ages_told, now);
+  to.last_seen = peers.most_recently_seen(max_report_ages, now);
   to.relayed = relayed_peers(now);
   if (to.relayed.empty()) {
-    to.known_daemons = contacts_to_tell(now);
+    to.known_daemons = next_contacts(now);
   }
 }
 
@@ -399,56 +404,57 @@
   const auto is_silent = [&](const daemon_id& id) {
     return id != options.id && !peers.is_live(id, now.mono);
   };
-  gateway::peer_report out{.self = self_contact(),
-                           .configuration_version = configuration_version(),
-                           .clock = now.wall,
-                           .work = top_endpoints(endpoints.work_to_gossip(now.mono), own_work_told),
-                           .prefill = endpoints.own_prefill(),
-                           .departures = endpoints.departures(now.mono),
-                           .terms = endpoints.terms_to_gossip(terms_told, now.mono),
-                           .endpoints = endpoint_view(now.mono),
-                           .usage = usage.rows_for_peer(is_silent, usage_rows_told),
-                           .rollouts = rollouts.all(),
-                           .rollouts_revision = versions.rollouts_revision(),
-                           .rollout_rows = version_calls.rows(clock.now(now)),
-                           .crashes = crashes.recent_changes(clock.now(now)),
-                           .crash_digest = crashes.digest()};
-  if (extent == report_extent::whole) {
-    add_what_is_known_of_others(out, now.mono);
+  gateway::peer_report out{
+      .self = self_contact(),
+      .configuration_version = configuration_version(),
+      .clock = now.wall,
+      .work = top_endpoints(endpoints.work_to_gossip(now.mono), max_own_work_entries),
+      .prefill = endpoints.own_prefill(),
+      .departures = endpoints.departures(now.mono),
+      .terms = endpoints.terms_to_gossip(max_terms_per_report, now.mono),
+      .endpoints = endpoint_view(now.mono),
+      .usage = usage.rows_for_peer(is_silent, max_usage_rows),
+      .rollouts = rollouts.all(),
+      .rollouts_revision = versions.rollouts_revision(),
+      .rollout_rows = version_calls.rows(clock.now(now)),
+      .crashes = crashes.recent_changes(clock.now(now)),
+      .crash_digest = crashes.digest()};
+  if (extent == report_extent::full) {
+    add_known_peers(out, now.mono);
   }
   return out;
 }
 
-void fleet_state::absorb(const gateway::peer_report& told, const clock_reading& now)
+void fleet_state::merge_report(const gateway::peer_report& received, const clock_reading& now)
 {
-  if (told.self.id == options.id) {
+  if (received.self.id == options.id) {
     return;
   }
-  peers.on_report(told, now.mono);
-  clock.on_reading(told.self.id, told.clock, now.mono);
-  take_departures(told.departures, now.mono);
-  take_terms(told, now.mono);
-  const auto told_at = now.mono - told.age;
-  endpoints.on_peer_work(told.self.id, told.work, told_at);
-  endpoints.on_peer_prefill(told.self.id, told.prefill, told_at);
-  for (const auto& r : told.relayed) {
+  peers.on_report(received, now.mono);
+  clock.on_reading(received.self.id, received.clock, now.mono);
+  apply_departures(received.departures, now.mono);
+  apply_peer_terms(received, now.mono);
+  const auto reported_at = now.mono - received.age;
+  endpoints.on_peer_work(received.self.id, received.work, reported_at);
+  endpoints.on_peer_prefill(received.self.id, received.prefill, reported_at);
+  for (const auto& r : received.relayed) {
     const auto relayed_at = now.mono - r.age;
     if (peers.on_relayed(r.contact, relayed_at)) {
       endpoints.on_peer_work(r.contact.id, r.work, relayed_at);
       endpoints.on_peer_prefill(r.contact.id, r.prefill, relayed_at);
     }
   }
-  for (const auto& row : told.usage) {
+  for (const auto& row : received.usage) {
     usage.merge(row);
   }
-  for (const auto& row : told.rollout_rows) {
+  for (const auto& row : received.rollout_rows) {
     rollout_rows.merge(row);
   }
-  if (rollouts.merge(told.rollouts)) {
-    follow_rollouts();
+  if (rollouts.merge(received.rollouts)) {
+    on_rollouts_changed();
   }
-  on_rollouts_read(told.rollouts_revision);
-  crashes.merge(told.crashes, clock.now(now));
+  on_rollouts_read(received.rollouts_revision);
+  crashes.merge(received.crashes, clock.now(now));
 }
 
 void fleet_state::log_peer_changes(const std::vector<daemon_id>& live)
@@ -467,7 +473,7 @@
   live_peers_ = std::move(present);
 }
 
-void fleet_state::set_gauges(mono_time now)
+void fleet_state::update_gauges(mono_time now)
 {
   using seconds = std::chrono::duration<double>;
   if (configuration_read_at_) {
@@ -488,27 +494,27 @@
   const auto daemons = peers.running_count(now.mono);
   retries.set_daemons(daemons);
   const auto live = peers.live(now.mono);
-  auto staying = ids_of_staying(live);
+  auto non_draining = ids_of_non_draining(live);
   counters.set("peers_live", static_cast<double>(live.size()));
-  set_gauges(now.mono);
-  log_peer_changes(staying);
-  const gateway::fleet_view fleet{.candidates = std::move(staying),
+  update_gauges(now.mono);
+  log_peer_changes(non_draining);
+  const gateway::fleet_view fleet{.candidates = std::move(non_draining),
                                   .live_count = live.size() + 1,
                                   .running_count = daemons,
-                                  .leaving = leaving_since_.has_value()};
+                                  .leaving = draining_since_.has_value()};
   quota.set_fleet(fleet, now.mono);
   endpoints.set_fleet(fleet, now.mono);
   quota.update_demand(now.mono);
   endpoints.tick(now.mono);
   endpoints.refresh_loads(now.mono);
-  feed.set_reader(leads(now.mono));
+  feed.set_reader(is_coordinator(now.mono));
   feed.retain(endpoints.all());
   version_calls.set_extra_calls(trial_slack_margin * options.trial_slack /
                                 static_cast<double>(daemons));
   usage.forget_old(clock.now(now));
   crashes.tick(clock.now(now));
-  holds_.log_changes(crashes.holds(), log);
-  counters.set("contents_held", static_cast<double>(holds_.size()));
+  hold_log_.log_changes(crashes.holds(), log);
+  counters.set("contents_held", static_cast<double>(hold_log_.size()));
   counters.set("endpoint_crashes_known", static_cast<double>(crashes.crashes_known()));
 }
 
--- a/src/relay/fleet_state.h
+++ b/src/relay/fleet_state.h
@@ -1,6 +1,7 @@
-// What one gateway daemon believes, shared by the coroutines of its one thread.
+// The view of the fleet that one gateway daemon has, shared by the coroutines of its single thread.
 //
-// Every member is pure (no sockets, no clock); the modules around it bring news and ask.
+// The members are free of I/O: no sockets, and times are passed in. The modules around this class
+// feed it with store entries, peer reports and answers, and query it.
 
 #ifndef WISTERIAFLOW_SRC_RELAY_FLEET_STATE_H_
 #define WISTERIAFLOW_SRC_RELAY_FLEET_STATE_H_
@@ -36,117 +37,127 @@
 
 namespace wisteriaflow::relay {
 
-// Both clocks, read now.
+// Reads the monotonic clock and the wall clock.
 [[nodiscard]] clock_reading read_clocks();
 
+// State of one daemon. Not thread-safe.
 class fleet_state {
  public:
   fleet_state(const settings& s, event_log& log);
 
-  // Takes a configuration document into force if it is newer than the present one. `source` says
-  // how it was learned. An unreadable one is logged and leaves the present one in force.
-  void offer_configuration(const boost::json::value& document, std::string_view source);
+  // Puts a configuration document into force if its version is newer than the present one. `source`
+  // names where it came from, for the log. An unreadable document is logged and changes nothing.
+  void apply_configuration_if_newer(const boost::json::value& document, std::string_view source);
 
   [[nodiscard]] const std::shared_ptr<const gateway::configuration_index>& configuration() const
   {
     return configuration_;
   }
+  // Version of the configuration in force; 0 if there is none yet.
   [[nodiscard]] std::uint64_t configuration_version() const;
-  // The store was read, and what it holds has been offered.
-  void note_configuration_read(mono_time now) { configuration_read_at_ = now; }
-  // The document that the configuration in force was read from, for peers.
+  // Call after a read of the store whose configuration, if any, has been applied.
+  void on_configuration_read(mono_time now) { configuration_read_at_ = now; }
+  // The document of the configuration in force, which peers may fetch.
   [[nodiscard]] const boost::json::value& configuration_document() const { return document_; }
 
-  // Told after each change that peers should hear of at once.
-  void on_news(std::function<void()> callback) { on_news_ = std::move(callback); }
-  void announce_news() const;
+  // `callback` runs after each change that peers must receive at once instead of with the next
+  // periodic report.
+  void set_urgent_update_callback(std::function<void()> callback)
+  {
+    on_urgent_update_ = std::move(callback);
+  }
+  void signal_urgent_update() const;
 
-  // Starts the drain: peers and callers are told that this daemon ends.
-  void leave(mono_time now);
-  [[nodiscard]] std::optional<mono_time> leaving_since() const { return leaving_since_; }
+  // Starts the drain, and lets peers know at once that this daemon stops.
+  void begin_drain(mono_time now);
+  [[nodiscard]] std::optional<mono_time> draining_since() const { return draining_since_; }
 
-  // Whether callers may be sent here.
+  // Whether callers may use this daemon: it knows the configuration, the endpoints and the
+  // roll-outs, and is not draining.
   [[nodiscard]] bool is_ready() const;
 
+  // This daemon's entry for the peers' tables.
   [[nodiscard]] gateway::daemon_contact self_contact() const;
 
-  // Of random choices; differs between daemons that start together.
+  // Seed for random choices; differs between daemons that start at the same time.
   [[nodiscard]] std::uint64_t seed() const;
 
-  // Notes whether this daemon holds the fleet's duties; peers are told at once. True if that has
-  // changed.
-  bool set_acting(bool acting);
+  // Records whether this daemon is the leader, that is, holds the fleet's lease; a change is sent
+  // to peers at once. Returns whether it has changed.
+  bool set_leader(bool leader);
 
-  // Whether this daemon holds the fleet's duties.
-  [[nodiscard]] bool is_acting() const { return acting_; }
+  // Whether this daemon is the leader.
+  [[nodiscard]] bool is_leader() const { return is_leader_; }
 
-  // Whether this daemon is one of the few that do something for all: hold the duties or compete for
-  // them, read the endpoints in the store, and look after the configuration.
-  [[nodiscard]] bool leads(mono_time now) const;
+  // Whether this daemon is a coordinator: one of the few daemons that hold or compete for the
+  // lease, read the endpoints from the store and watch the configuration for all others.
+  [[nodiscard]] bool is_coordinator(mono_time now) const;
 
-  // Whether this daemon is the one that tries a held content when that is due: of all that repeat
-  // it at once a single request may end an endpoint.
-  [[nodiscard]] bool tries_held(const gateway::content_id& content) const;
+  // Whether this daemon is the one that sends a probe request with a held content when a probe is
+  // due. If several daemons did so, each request might crash an endpoint.
+  [[nodiscard]] bool probes_held_content(const gateway::content_id& content) const;
 
-  // Where the daemons that lead are asked, but for this one.
-  [[nodiscard]] std::vector<http::socket_address> other_leads(mono_time now) const;
+  // Peer addresses of the other coordinators.
+  [[nodiscard]] std::vector<http::socket_address> other_coordinators(mono_time now) const;
 
-  // An endpoint's description, from the store.
-  void take_endpoint(const gateway::endpoint_record& record, mono_time now);
+  // Applies an endpoint's entry read from the store.
+  void apply_endpoint(const gateway::endpoint_record& record, mono_time now);
 
-  // Departures that a peer told.
-  void take_departures(const std::vector<gateway::endpoint_departure>& told, mono_time now);
+  // Applies departures of endpoints, reported by a peer or deduced from an unreadable entry.
+  void apply_departures(const std::vector<gateway::endpoint_departure>& departures, mono_time now);
 
-  // What an endpoint said of itself in an answer.
-  void take_answer(const gateway::answer_terms& said, mono_time now);
+  // Applies the terms (leaving, rate limit) that an endpoint stated in an answer.
+  void apply_answer_terms(const gateway::answer_terms& answered, mono_time now);
 
-  // Time between two calls of one daemon, so that the whole fleet makes `fleet_calls_per_second`.
+  // Returns the interval between two calls of one daemon at which the whole fleet makes
+  // `fleet_calls_per_second`.
   [[nodiscard]] std::chrono::milliseconds call_period(double fleet_calls_per_second) const;
 
-  // Who else may be calling the store, and whether peers tell what it holds. Those that read the
-  // endpoints for all are told by nobody.
+  // Input of the retry policy: how many daemons may be calling the store, and whether peers report
+  // what it contains. Daemons that read the endpoints for the fleet get no such reports.
   [[nodiscard]] gateway::retry_context retry_situation() const;
 
-  // How current the endpoints are here, and what a peer lacks whose view is at `revision`. Nothing
-  // is told while removals are on hold: a peer that followed would never see them.
+  // How current this daemon's endpoints are, and the changes that a peer lacks whose view is at
+  // `revision`. Both are empty while removals are held back after a store outage: a peer that took
+  // over such a view would miss these removals for good.
   [[nodiscard]] gateway::endpoint_view endpoint_view(mono_time now) const;
   [[nodiscard]] gateway::endpoint_changes endpoint_changes(std::uint64_t revision,
                                                            mono_time now) const;
 
-  // What is known of an order, from the store or by this daemon's own judgement.
-  void take_rollout(const gateway::rollout& known);
-  // The operator has withdrawn a service's order as of `revision`.
+  // Applies the state of a roll-out, read from the store or decided by this daemon.
+  void apply_rollout(const gateway::rollout& rollout);
+  // Call when the operator has deleted a service's roll-out order as of the store's `revision`.
   void withdraw_rollout(std::string_view service, std::uint64_t revision);
-  // All orders up to this revision of the store have been taken.
+  // Call when all roll-out orders up to `revision` of the store have been applied.
   void on_rollouts_read(std::uint64_t revision);
-  // Whether this deployment has roll-outs at all.
-  [[nodiscard]] bool has_rollouts() const { return options.trial_part > 0; }
+  // Whether the settings enable roll-outs.
+  [[nodiscard]] bool rollouts_enabled() const { return options.trial_part > 0; }
 
-  // How much of the fleet a report tells beside this daemon's own part.
+  // How much a report contains about the rest of the fleet, beside this daemon's own state.
   enum class report_extent {
-    whole, // what it knows of others, to pass on
-    brief, // nothing: in a large fleet, for news, and for a lead, whom all ask
+    full,  // also what is known of other daemons
+    brief, // own state only: urgent updates in a large fleet, and reports to its coordinators
   };
 
-  // What to tell a peer now.
+  // Builds the report for peers.
   [[nodiscard]] gateway::peer_report report(const clock_reading& now,
-                                            report_extent extent = report_extent::whole);
+                                            report_extent extent = report_extent::full);
 
-  // Takes in what a peer told.
-  void absorb(const gateway::peer_report& told, const clock_reading& now);
+  // Merges a report received from a peer.
+  void merge_report(const gateway::peer_report& received, const clock_reading& now);
 
-  // The fleet's wall-clock time.
+  // The wall-clock time agreed on by the fleet.
   [[nodiscard]] wall_time fleet_time() const { return clock.now(read_clocks()); }
 
-  // Work that is due as time passes; call a few times a second.
+  // Does periodic work; call a few times a second.
   void tick(const clock_reading& now);
 
-  settings options; // as at the start
+  settings options; // as loaded at the start
   event_log& log;
   metrics counters;
   std::uint64_t incarnation;
   gateway::endpoint_pool endpoints;
-  gateway::endpoint_feed feed; // how current `endpoints` is
+  gateway::endpoint_feed feed; // tracks how current `endpoints` is
   gateway::workspace_quota quota;
   gateway::retry_budget retries;
   gateway::peer_table peers;
@@ -159,29 +170,30 @@
   gateway::rollout_rows rollout_rows;
 
  private:
-  void take_terms(const gateway::peer_report& told, mono_time now);
+  void apply_peer_terms(const gateway::peer_report& received, mono_time now);
   void log_terms(const endpoint_id& id, bool leaving, std::optional<double> rate,
                  std::string_view source);
-  void follow_rollouts();
+  void on_rollouts_changed();
   [[nodiscard]] bool rollout_is_open() const;
-  // What the latest news of peers is, for a report; nothing where all ask each other.
+  // The most recent reports of peers, to be relayed; empty if all daemons exchange reports
+  // directly.
   std::vector<gateway::relayed_peer> relayed_peers(mono_time now) const;
-  // Contacts for a report: all of a small fleet's, a changing few of a large one's.
-  std::vector<gateway::daemon_contact> contacts_to_tell(mono_time now);
-  void add_what_is_known_of_others(gateway::peer_report& to, mono_time now);
+  // Contacts for a report: all peers of a small fleet, a rotating few of a large one.
+  std::vector<gateway::daemon_contact> next_contacts(mono_time now);
+  void add_known_peers(gateway::peer_report& to, mono_time now);
   void log_peer_changes(const std::vector<daemon_id>& live);
-  // How old what is believed is, and the state of the log.
-  void set_gauges(mono_time now);
+  // Updates the gauges of the age of the configuration and endpoints, and of the log.
+  void update_gauges(mono_time now);
 
   std::shared_ptr<const gateway::configuration_index> configuration_;
   boost::json::value document_;
   std::optional<mono_time> configuration_read_at_;
-  std::function<void()> on_news_;
-  std::optional<mono_time> leaving_since_;
-  bool acting_ = false;            // holds the duties
-  std::set<daemon_id> live_peers_; // at the last tick
-  hold_log holds_;
-  std::size_t next_contact_ = 0; // to tell
+  std::function<void()> on_urgent_update_;
+  std::optional<mono_time> draining_since_;
+  bool is_leader_ = false;         // holds the fleet's lease
+  std::set<daemon_id> live_peers_; // as of the last tick
+  hold_log hold_log_;
+  std::size_t next_contact_ = 0; // index of the next contact to report
 };
 
 } // namespace wisteriaflow::relay
--- a/src/relay/gateway_daemon.cc
+++ b/src/relay/gateway_daemon.cc
@@ -33,17 +33,17 @@
 using std::chrono::milliseconds;
 namespace asio = boost::asio;
 
-// How long callers may keep an answer about addresses; some keep it three times as long, so this
-// bounds how long callers still come to a daemon that leaves.
-constexpr std::chrono::seconds addresses_valid{1};
-constexpr int times_kept = 3;
-// Callers reuse connections for most of the idle time that operators declare, up to minutes: the
-// gateway never closes one first.
+// How long callers may cache an answer to an address query. Some cache it three times as long, so
+// callers use a draining daemon for at most the product of both.
+constexpr std::chrono::seconds address_validity{1};
+constexpr int max_validity_factor = 3;
+// Callers keep connections for most of the idle time that operators declare, up to minutes. The
+// gateway must never be the first to close a connection.
 constexpr milliseconds caller_idle_timeout{600'000};
-// Limits of the server itself; those that operators declare are checked for each call.
+// Limits of the server itself; the limits in the configuration are checked for each call.
 constexpr std::size_t header_limit = 64U << 10U;
 constexpr std::size_t body_limit = std::size_t{16} << 20U;
-// A drain ends this long before the process would be killed, so that it ends in good order.
+// A drain ends this long before the platform kills the process, so that it exits by itself.
 constexpr milliseconds drain_margin{500};
 constexpr milliseconds drain_check_period{50};
 
@@ -111,12 +111,12 @@
  private:
   void drain()
   {
-    if (state_.leaving_since()) {
+    if (state_.draining_since()) {
       return;
     }
     log_.write(daemon::log_level::info, "draining",
                {{"open_calls", std::to_string(relay_.open_calls())}});
-    state_.leave(std::chrono::steady_clock::now());
+    state_.begin_drain(std::chrono::steady_clock::now());
     callers_.announce_close();
     asio::co_spawn(context_, finish_drain(), asio::detached);
   }
@@ -128,8 +128,8 @@
         return;
       }
       if (signal == SIGHUP) {
-        // The addresses that this process is bound to cannot change under it; the rest of the file
-        // is read at the next start.
+        // A running process cannot change the addresses that it is bound to, and the rest of the
+        // file is read at the next start only.
         log_.write(daemon::log_level::info, "settings changed", {{"effect", "at the next start"}});
       } else {
         drain();
@@ -138,17 +138,18 @@
     });
   }
 
-  // Ends the process once callers have stopped coming and every call is answered, and in any case
-  // before the process would be killed.
+  // Ends the process when callers no longer use this daemon and every call has been answered, or at
+  // the drain deadline, before the platform would kill the process.
   asio::awaitable<void> finish_drain()
   {
     const auto start = std::chrono::steady_clock::now();
-    const auto last = start + state_.options.drain_grace - drain_margin;
-    const auto callers_gone = std::min(last, start + times_kept * addresses_valid);
+    const auto drain_deadline = start + state_.options.drain_grace - drain_margin;
+    const auto callers_gone_at =
+        std::min(drain_deadline, start + max_validity_factor * address_validity);
     asio::steady_timer timer(context_);
     boost::system::error_code ec;
-    for (auto now = start; now < last; now = std::chrono::steady_clock::now()) {
-      if (now >= callers_gone && relay_.open_calls() == 0) {
+    for (auto now = start; now < drain_deadline; now = std::chrono::steady_clock::now()) {
+      if (now >= callers_gone_at && relay_.open_calls() == 0) {
         break;
       }
       timer.expires_after(drain_check_period);
@@ -159,38 +160,39 @@
     context_.stop();
   }
 
-  asio::awaitable<void> answer_addresses(http::request asked, http::response_writer& writer)
+  asio::awaitable<void> answer_addresses(http::request request, http::response_writer& writer)
   {
     http::response out{.status = http::status::not_found};
-    if (const auto question = adapter::decode_address_question(asked)) {
+    if (const auto question = adapter::decode_address_question(request)) {
       const auto addresses = addresses_for(question->zone);
       out = addresses.empty() ? http::response{.status = http::status::unavailable}
-                              : adapter::encode_addresses(addresses, addresses_valid);
+                              : adapter::encode_addresses(addresses, address_validity);
     }
     co_await writer.send(std::move(out));
   }
 
   std::vector<http::socket_address> addresses_for(const availability_zone& zone) const
   {
-    constexpr std::size_t most = 64; // that an answer may hold
+    constexpr std::size_t max_addresses = 64; // per answer
     auto daemons = state_.peers.live(std::chrono::steady_clock::now());
     daemons.push_back(state_.self_contact());
-    return gateway::addresses_for_callers(zone.empty() ? state_.options.zone : zone, daemons, most);
+    return gateway::addresses_for_callers(zone.empty() ? state_.options.zone : zone, daemons,
+                                          max_addresses);
   }
 
-  asio::awaitable<void> answer_metrics(http::request asked, http::response_writer& writer)
+  asio::awaitable<void> answer_metrics(http::request request, http::response_writer& writer)
   {
     http::response out{.status = http::status::not_found};
-    if (asked.target == "/metrics") {
+    if (request.target == "/metrics") {
       out = {.status = http::status::ok, .body = state_.counters.exposition()};
     }
     co_await writer.send(std::move(out));
   }
 
-  asio::awaitable<void> answer_readiness(http::request asked, http::response_writer& writer)
+  asio::awaitable<void> answer_readiness(http::request request, http::response_writer& writer)
   {
     http::response out{.status = http::status::not_found};
-    if (adapter::is_readiness_check(asked)) {
+    if (adapter::is_readiness_check(request)) {
       out.status = state_.is_ready() ? http::status::ok : http::status::unavailable;
     }
     co_await writer.send(std::move(out));
@@ -203,7 +205,7 @@
   store_sync store_sync_;
   crash_store crash_store_;
   peer_sync peers_;
-  duties duties_;
+  leader_duties duties_;
   rollout_sync rollouts_;
   call_relay relay_;
   http::server callers_;
--- a/src/relay/lease_keeper.cc
+++ b/src/relay/lease_keeper.cc
@@ -21,23 +21,25 @@
 
 constexpr std::string_view lease_kind = "gateway-leases";
 constexpr std::string_view lease_name = "duties";
-// The store answers in a few milliseconds, and in some hundred when it is slow.
+// The store answers within a few milliseconds, or some hundred milliseconds under load.
 constexpr milliseconds call_timeout{500};
-// Until a lost holder's duties go on elsewhere, a lease, a reading period and the wait for its last
-// orders pass: 4.3 s with this duration, 7.6 s seen with 3 s. A shorter one would lapse when two
-// answers of the store in a row are lost.
-constexpr milliseconds longest_duration{2'000};
-// A duty call is given up after this, so none arrives later than that after its sending.
+// The leader's work resumes elsewhere after one lease, one read period and the wait for the old
+// leader's last orders: 4.3 s with this duration, 7.6 s observed with 3 s. A shorter lease would
+// expire when two answers of the store in a row are lost.
+constexpr milliseconds max_lease_duration{2'000};
+// The leader gives up its platform calls within this time, so none arrives later than this after it
+// was sent.
 constexpr milliseconds order_timeout{1'000};
-// By which two monotonic clocks may drift apart in one lease, with the delay of a loaded process.
+// Allowance for the drift of two instances' monotonic clocks during one lease, and for the
+// scheduling delay of a loaded process.
 constexpr milliseconds skew_margin{300};
 
-// The two clocks are not read at the same moment: less is not told from that.
-constexpr milliseconds shortest_suspension{50};
+// The two clocks are read one after the other, so a smaller difference does not show a suspension.
+constexpr milliseconds min_reported_suspension{50};
 
 capacity::lease_options lease_options_of(const fleet_state& state)
 {
-  const auto duration = std::min(state.options.lease_duration, longest_duration);
+  const auto duration = std::min(state.options.lease_duration, max_lease_duration);
   return {.name = std::string(lease_name),
           .self = state.options.id,
           .duration = duration,
@@ -92,7 +94,7 @@
   return {.mono = clock_.now(), .wall = read_clocks().wall};
 }
 
-bool lease_keeper::may_act() const
+bool lease_keeper::holds_lease() const
 {
   constexpr bool checks_fencing = false;
   return holder_.may_issue_order(checks_fencing, clock_.now());
@@ -100,39 +102,39 @@
 
 void lease_keeper::tick()
 {
-  note_suspension();
+  report_suspension();
   const auto now = lease_time();
-  const bool wanted = state_.configuration() && !state_.leaving_since() &&
-                      (may_act() || state_.leads(std::chrono::steady_clock::now()));
-  carry_out(holder_.handle(capacity::lease_wanted{.wanted = wanted}, now));
+  const bool competes = state_.configuration() && !state_.draining_since() &&
+                        (holds_lease() || state_.is_coordinator(std::chrono::steady_clock::now()));
+  execute(holder_.handle(capacity::lease_wanted{.wanted = competes}, now));
   if (const auto due = holder_.wake_at(); due && *due <= now.mono) {
-    carry_out(holder_.handle(capacity::lease_tick{}, now));
+    execute(holder_.handle(capacity::lease_tick{}, now));
   }
-  const bool acting = may_act();
-  state_.counters.set("duties_held", acting ? 1 : 0);
+  const bool is_leader = holds_lease();
+  state_.counters.set("duties_held", is_leader ? 1 : 0);
   const std::chrono::duration<double> left = holder_.deadline() - now.mono;
-  state_.counters.set("lease_left_seconds", acting ? left.count() : 0);
-  if (state_.set_acting(acting)) {
-    state_.log.write(daemon::log_level::info, acting ? "duties taken" : "duties given up",
+  state_.counters.set("lease_left_seconds", is_leader ? left.count() : 0);
+  if (state_.set_leader(is_leader)) {
+    state_.log.write(daemon::log_level::info, is_leader ? "duties taken" : "duties given up",
                      {{"fencing_number", std::to_string(fencing_number())},
                       {"last_seen_holder", holder_.last_seen_holder().value()}});
   }
 }
 
-void lease_keeper::note_suspension()
+void lease_keeper::report_suspension()
 {
-  const auto before = std::exchange(suspended_, clock_.suspended());
-  const auto gap = std::chrono::duration_cast<milliseconds>(suspended_ - before);
-  if (gap < shortest_suspension) {
+  const auto before = std::exchange(last_suspended_, clock_.suspended());
+  const auto gap = std::chrono::duration_cast<milliseconds>(last_suspended_ - before);
+  if (gap < min_reported_suspension) {
     return;
   }
   state_.counters.count("suspended_ms", {}, static_cast<std::uint64_t>(gap.count()));
   state_.log.write(
       daemon::log_level::warn, "instance was suspended",
-      {{"for_ms", std::to_string(gap.count())}, {"duties_held", may_act() ? "yes" : "no"}});
+      {{"for_ms", std::to_string(gap.count())}, {"duties_held", holds_lease() ? "yes" : "no"}});
 }
 
-void lease_keeper::carry_out(std::vector<capacity::lease_action> actions)
+void lease_keeper::execute(std::vector<capacity::lease_action> actions)
 {
   for (auto& a : actions) {
     if (auto* r = std::get_if<capacity::read_lease>(&a)) {
@@ -144,9 +146,9 @@
   }
 }
 
-void lease_keeper::answer(const capacity::lease_event& e)
+void lease_keeper::on_event(const capacity::lease_event& e)
 {
-  carry_out(holder_.handle(e, lease_time()));
+  execute(holder_.handle(e, lease_time()));
 }
 
 asio::awaitable<void> lease_keeper::read(capacity::read_lease a)
@@ -154,20 +156,20 @@
   auto message = adapter::get_call(lease_kind, lease_name);
   const auto reply = co_await store_.call(std::move(message), "lease", call_timeout);
   if (reply.result == adapter::store_result::missing) {
-    answer(capacity::lease_missing{.call = a.call});
+    on_event(capacity::lease_missing{.call = a.call});
     co_return;
   }
   if (reply.result != adapter::store_result::done) {
-    answer(capacity::lease_call_unanswered{.call = a.call});
+    on_event(capacity::lease_call_unanswered{.call = a.call});
     co_return;
   }
   try {
     const auto object = adapter::decode_object(reply.body);
-    answer(capacity::lease_found{
+    on_event(capacity::lease_found{
         .call = a.call, .record = decode(object.spec), .version = object.revision});
   } catch (const adapter::format_error& e) {
     state_.log.write(daemon::log_level::error, "lease unreadable", {{"reason", e.what()}});
-    answer(capacity::lease_call_unanswered{.call = a.call});
+    on_event(capacity::lease_call_unanswered{.call = a.call});
   }
 }
 
@@ -181,18 +183,18 @@
   case adapter::store_result::done:
     try {
       const auto object = adapter::decode_object(reply.body);
-      answer(capacity::lease_written{.call = a.call, .version = object.revision});
+      on_event(capacity::lease_written{.call = a.call, .version = object.revision});
     } catch (const adapter::format_error& e) {
       state_.log.write(daemon::log_level::error, "lease unreadable", {{"reason", e.what()}});
-      answer(capacity::lease_call_unanswered{.call = a.call});
+      on_event(capacity::lease_call_unanswered{.call = a.call});
     }
     break;
   case adapter::store_result::conflict:
   case adapter::store_result::missing:
-    answer(capacity::lease_conflict{.call = a.call});
+    on_event(capacity::lease_conflict{.call = a.call});
     break;
   default:
-    answer(capacity::lease_call_unanswered{.call = a.call});
+    on_event(capacity::lease_call_unanswered{.call = a.call});
   }
 }
 
--- a/src/relay/peer_sync.cc
+++ b/src/relay/peer_sync.cc
@@ -24,31 +24,35 @@
 using std::chrono::milliseconds;
 namespace asio = boost::asio;
 
-// A daemon asks each peer so often, unless the peer has asked it meanwhile.
+// Each daemon exchanges reports with a peer once per period, unless the peer started an exchange in
+// the meantime.
 constexpr milliseconds exchange_period{400};
-// News wait so long for others to share their message.
-constexpr milliseconds news_batch{15};
+// Urgent updates are delayed by this much so that several share a message.
+constexpr milliseconds urgent_batch_delay{15};
 constexpr milliseconds exchange_timeout{500};
-// An owner answers within a few milliseconds; a caller should not wait longer for one that is away.
+// A quota owner answers within a few milliseconds; a call should not wait longer for an owner that
+// is unreachable.
 constexpr milliseconds quota_timeout{120};
 constexpr milliseconds fetch_timeout{1'000};
-// News of crashes reach every daemon well within this; what still differs then was missed, as by a
-// daemon that was cut off. One that knows of none fetches them at once.
-constexpr milliseconds crash_news_time{3'000};
-// Of an unpacked report, in bytes. The largest seen, of 63 daemons, has 5 KB.
-constexpr std::size_t report_limit = std::size_t{1} << 20U;
-
-// One report serves all who are asked or ask within this time, a quarter of a period: making one
-// takes 0.11 ms with 195 daemons, reading and absorbing one 0.05 ms (without sockets).
-constexpr milliseconds report_reuse{100};
-// How long ago the report in a message was made, in ms.
+// Crash records reach every daemon well within this time. If digests still differ after it, some
+// were missed, for example by a daemon that was partitioned. A daemon without any fetches them at
+// once.
+constexpr milliseconds crash_propagation_time{3'000};
+// Maximum size of a decompressed report in bytes. The largest observed report, of 63 daemons, has 5
+// KB.
+constexpr std::size_t max_report_bytes = std::size_t{1} << 20U;
+
+// A report is reused for all exchanges within this time, a quarter of a period: building one takes
+// 0.11 ms with 195 daemons, decoding and merging one 0.05 ms (without sockets).
+constexpr milliseconds report_cache_time{100};
+// Header with the age of the report in the message, in milliseconds.
 constexpr std::string_view report_age_field = "Report-Age-Ms";
 
 constexpr std::string_view report_target = "/report";
 constexpr std::string_view brief_report_target = "/report?brief";
 constexpr std::string_view quota_target = "/quota";
 constexpr std::string_view configuration_target = "/configuration";
-constexpr std::string_view endpoints_target = "/endpoints"; // ?after=REVISION of the store
+constexpr std::string_view endpoints_target = "/endpoints"; // with ?after=REVISION of the store
 constexpr std::string_view crashes_target = "/crashes";
 constexpr std::string_view metrics_target = "/metrics";
 
@@ -58,7 +62,7 @@
   return {.name = std::string(report_age_field), .value = std::to_string(age.count())};
 }
 
-// What a peer answered; throws peer_report_error.
+// Parses the body of a peer's answer; throws peer_report_error.
 boost::json::value parse_json(const std::string& body)
 {
   boost::system::error_code ec;
@@ -75,16 +79,16 @@
     : context_(context), state_(state),
       client_(context, {.connect_timeout = exchange_timeout, .repeat_stale_get = false}),
       server_(context, {.address = state.options.peers},
-              [this](http::request asked, http::response_writer& w) {
-                return serve(std::move(asked), w);
+              [this](http::request request, http::response_writer& w) {
+                return serve(std::move(request), w);
               }),
-      wait_(context), rounds_({.period = exchange_period}, state.seed())
+      timer_(context), rounds_({.period = exchange_period}, state.seed())
 {
 }
 
 void peer_sync::start()
 {
-  state_.on_news([this] { hurry(); });
+  state_.set_urgent_update_callback([this] { schedule_urgent_exchange(); });
   asio::co_spawn(context_, run(), asio::detached);
 }
 
@@ -92,73 +96,76 @@
 {
   for (;;) {
     const auto now = std::chrono::steady_clock::now();
-    if (std::exchange(hurried_, false)) {
-      tell_news(now);
+    if (std::exchange(urgent_update_pending_, false)) {
+      send_urgent_update(now);
     }
-    // News never take the place of a round: it alone tells what is known of others.
+    // An urgent update does not replace a periodic round: only the round's reports contain what is
+    // known of other daemons.
     if (now >= next_round_) {
       next_round_ = now + exchange_period;
-      ask_peers(now);
+      start_round(now);
       state_.tick(read_clocks());
     }
-    wait_.expires_at(next_round_);
+    timer_.expires_at(next_round_);
     boost::system::error_code ec;
-    co_await wait_.async_wait(asio::redirect_error(asio::use_awaitable, ec));
-    if (hurried_) {
-      wait_.expires_after(news_batch);
-      co_await wait_.async_wait(asio::redirect_error(asio::use_awaitable, ec));
+    co_await timer_.async_wait(asio::redirect_error(asio::use_awaitable, ec));
+    if (urgent_update_pending_) {
+      timer_.expires_after(urgent_batch_delay);
+      co_await timer_.async_wait(asio::redirect_error(asio::use_awaitable, ec));
     }
   }
 }
 
-void peer_sync::hurry()
+void peer_sync::schedule_urgent_exchange()
 {
-  made_.clear(); // the next report has to tell the news
-  if (!hurried_) {
-    hurried_ = true;
-    wait_.cancel();
+  cached_reports_.clear(); // the next report must contain the update
+  if (!urgent_update_pending_) {
+    urgent_update_pending_ = true;
+    timer_.cancel();
   }
 }
 
-std::vector<http::socket_address> peer_sync::peers_to_ask(mono_time now) const
+std::vector<http::socket_address> peer_sync::idle_peers(mono_time now) const
 {
   auto out = state_.peers.addresses_to_contact(now);
-  std::erase_if(out, [this](const auto& peer) { return asked_.contains(peer); });
+  std::erase_if(out, [this](const auto& peer) { return exchanges_in_flight_.contains(peer); });
   return out;
 }
 
-void peer_sync::ask(const http::socket_address& peer, fleet_state::report_extent extent)
+void peer_sync::start_exchange(const http::socket_address& peer, fleet_state::report_extent extent)
 {
-  asked_.insert(peer);
+  exchanges_in_flight_.insert(peer);
   asio::co_spawn(context_, exchange(peer, extent), asio::detached);
 }
 
-void peer_sync::ask_peers(mono_time now)
+void peer_sync::start_round(mono_time now)
 {
   using extent = fleet_state::report_extent;
-  auto leads = state_.other_leads(now);
-  std::erase_if(leads, [this](const auto& peer) { return asked_.contains(peer); });
+  auto coordinators = state_.other_coordinators(now);
+  std::erase_if(coordinators,
+                [this](const auto& peer) { return exchanges_in_flight_.contains(peer); });
   const bool large = rounds_.is_large(state_.peers.running_count(now));
-  for (const auto& peer : rounds_.next_targets(peers_to_ask(now), leads, now)) {
-    const bool is_lead = std::find(leads.begin(), leads.end(), peer) != leads.end();
-    ask(peer, large && is_lead ? extent::brief : extent::whole);
+  for (const auto& peer : rounds_.next_targets(idle_peers(now), coordinators, now)) {
+    const bool is_coordinator =
+        std::find(coordinators.begin(), coordinators.end(), peer) != coordinators.end();
+    start_exchange(peer, large && is_coordinator ? extent::brief : extent::full);
   }
 }
 
-void peer_sync::tell_news(mono_time now)
+void peer_sync::send_urgent_update(mono_time now)
 {
   using extent = fleet_state::report_extent;
   const bool large = rounds_.is_large(state_.peers.running_count(now));
-  for (const auto& peer : rounds_.next_urgent_targets(peers_to_ask(now))) {
-    ask(peer, large ? extent::brief : extent::whole);
+  for (const auto& peer : rounds_.next_urgent_targets(idle_peers(now))) {
+    start_exchange(peer, large ? extent::brief : extent::full);
   }
 }
 
-const peer_sync::made_report& peer_sync::current_report(fleet_state::report_extent extent)
+const peer_sync::cached_report& peer_sync::current_report(fleet_state::report_extent extent)
 {
   const auto now = read_clocks();
-  const auto [it, is_first] = made_.try_emplace(extent);
-  if (is_first || now.mono >= it->second.made_at + report_reuse) {
+  const auto [it, is_first] = cached_reports_.try_emplace(extent);
+  if (is_first || now.mono >= it->second.made_at + report_cache_time) {
     it->second = {.packed = deflate(encode_peer_report(state_.report(now, extent))),
                   .made_at = now.mono};
   }
@@ -173,13 +180,14 @@
 gateway::peer_report peer_sync::unpack_report(const std::string& body, const http::headers& fields)
 {
   count_report(body, "received");
-  // Peers of an earlier version make each report for its message.
+  // Peers of an older version send no age: they build each report for its message.
   const auto age = parse_number<std::uint32_t>(http::find_header(fields, report_age_field, "0"));
   if (!age) {
     throw gateway::peer_report_error("report of unreadable age");
   }
   try {
-    return aged_by(gateway::decode_peer_report(inflate(body, report_limit)), milliseconds(*age));
+    return aged_by(gateway::decode_peer_report(inflate(body, max_report_bytes)),
+                   milliseconds(*age));
   } catch (const deflate_error& e) {
     throw gateway::peer_report_error(e.what());
   }
@@ -200,9 +208,9 @@
     const auto deadline = asked_at + exchange_timeout;
     const auto reply = co_await client_.call(peer, std::move(message), deadline);
     if (reply.status == http::status::ok) {
-      const auto told = unpack_report(reply.body, reply.fields);
-      take_report(told, peer);
-      if (state_.feed.on_peer_view(told.endpoints, asked_at) == gateway::feed_action::fetch) {
+      const auto received = unpack_report(reply.body, reply.fields);
+      handle_report(received, peer);
+      if (state_.feed.on_peer_view(received.endpoints, asked_at) == gateway::feed_action::fetch) {
         fetch_endpoints(peer);
       }
     }
@@ -212,89 +220,90 @@
     state_.log.write(daemon::log_level::error, "peer report unreadable",
                      {{"peer", to_string(peer)}, {"reason", e.what()}});
   }
-  asked_.erase(peer);
+  exchanges_in_flight_.erase(peer);
 }
 
-asio::awaitable<void> peer_sync::fetch(http::socket_address peer, fetch_kind kind)
+asio::awaitable<void> peer_sync::fetch(http::socket_address peer, fetch_request request)
 {
-  if (!fetches_.insert(kind.what).second) {
+  if (!fetches_in_flight_.insert(request.name).second) {
     co_return;
   }
-  http::request message{.target = kind.target};
+  http::request message{.target = request.target};
   try {
     const auto deadline = std::chrono::steady_clock::now() + fetch_timeout;
     const auto reply = co_await client_.call(peer, std::move(message), deadline);
     if (reply.status == http::status::ok) {
-      kind.take(reply.body);
+      request.apply(reply.body);
     }
   } catch (const error& e) {
-    state_.log.write(daemon::log_level::warn, kind.what + " not fetched",
+    state_.log.write(daemon::log_level::warn, request.name + " not fetched",
                      {{"peer", to_string(peer)}, {"reason", e.what()}});
   }
-  fetches_.erase(kind.what);
+  fetches_in_flight_.erase(request.name);
 }
 
 void peer_sync::fetch_configuration(const http::socket_address& peer)
 {
-  fetch_kind kind{.what = "configuration", .target = std::string(configuration_target)};
-  kind.take = [this](const std::string& body) {
-    state_.offer_configuration(parse_json(body), "peer");
+  fetch_request request{.name = "configuration", .target = std::string(configuration_target)};
+  request.apply = [this](const std::string& body) {
+    state_.apply_configuration_if_newer(parse_json(body), "peer");
   };
-  asio::co_spawn(context_, fetch(peer, std::move(kind)), asio::detached);
+  asio::co_spawn(context_, fetch(peer, std::move(request)), asio::detached);
 }
 
 void peer_sync::fetch_endpoints(const http::socket_address& peer)
 {
   const auto after = state_.feed.revision();
   const auto asked_at = std::chrono::steady_clock::now();
-  fetch_kind kind{.what = "endpoints",
-                  .target = std::string(endpoints_target) + "?after=" + std::to_string(after)};
-  kind.take = [this, after, asked_at](const std::string& body) {
+  fetch_request request{.name = "endpoints",
+                        .target =
+                            std::string(endpoints_target) + "?after=" + std::to_string(after)};
+  request.apply = [this, after, asked_at](const std::string& body) {
     const auto changes = gateway::decode_endpoint_changes(body);
     const auto now = std::chrono::steady_clock::now();
-    state_.take_departures(changes.departures, now);
+    state_.apply_departures(changes.departures, now);
     for (const auto& r : changes.records) {
       state_.endpoints.apply(r, now);
       state_.feed.update_from_peer(r);
     }
     state_.feed.on_fetched(changes.view, after, asked_at);
   };
-  asio::co_spawn(context_, fetch(peer, std::move(kind)), asio::detached);
+  asio::co_spawn(context_, fetch(peer, std::move(request)), asio::detached);
 }
 
-void peer_sync::take_report(const gateway::peer_report& told, const http::socket_address& from)
+void peer_sync::handle_report(const gateway::peer_report& report, const http::socket_address& from)
 {
   const auto now = read_clocks();
   rounds_.on_report(from, now.mono);
-  state_.absorb(told, now);
-  if (told.configuration_version > state_.configuration_version()) {
+  state_.merge_report(report, now);
+  if (report.configuration_version > state_.configuration_version()) {
     fetch_configuration(from);
   }
-  compare_crashes(told, now.mono);
+  reconcile_crashes(report, now.mono);
 }
 
-void peer_sync::compare_crashes(const gateway::peer_report& told, mono_time now)
+void peer_sync::reconcile_crashes(const gateway::peer_report& report, mono_time now)
 {
   const auto own = state_.crashes.digest();
-  if (told.crash_digest == own || told.crash_digest == 0) {
+  if (report.crash_digest == own || report.crash_digest == 0) {
     crashes_differ_since_.reset();
     return;
   }
   const auto since = crashes_differ_since_.value_or(now);
   crashes_differ_since_ = since;
-  if (own == 0 || since + crash_news_time <= now) {
+  if (own == 0 || since + crash_propagation_time <= now) {
     crashes_differ_since_.reset();
-    fetch_crashes(told.self.peer_address);
+    fetch_crashes(report.self.peer_address);
   }
 }
 
 void peer_sync::fetch_crashes(const http::socket_address& peer)
 {
-  fetch_kind kind{.what = "crashes", .target = std::string(crashes_target)};
-  kind.take = [this](const std::string& body) {
+  fetch_request request{.name = "crashes", .target = std::string(crashes_target)};
+  request.apply = [this](const std::string& body) {
     state_.crashes.merge(gateway::decode_crash_report(parse_json(body)), state_.fleet_time());
   };
-  asio::co_spawn(context_, fetch(peer, std::move(kind)), asio::detached);
+  asio::co_spawn(context_, fetch(peer, std::move(request)), asio::detached);
 }
 
 asio::awaitable<gateway::quota_decision> peer_sync::admit(workspace_id workspace, double units)
@@ -337,22 +346,22 @@
   co_return std::nullopt;
 }
 
-http::response peer_sync::answer_report(const http::request& asked)
+http::response peer_sync::answer_report(const http::request& request)
 {
-  const auto told = unpack_report(asked.body, asked.fields);
-  take_report(told, told.self.peer_address);
-  const bool brief = asked.target == brief_report_target;
+  const auto received = unpack_report(request.body, request.fields);
+  handle_report(received, received.self.peer_address);
+  const bool brief = request.target == brief_report_target;
   const auto& report =
-      current_report(brief ? fleet_state::report_extent::brief : fleet_state::report_extent::whole);
+      current_report(brief ? fleet_state::report_extent::brief : fleet_state::report_extent::full);
   count_report(report.packed, "sent");
   return {.status = http::status::ok,
           .fields = {age_field(report.made_at, std::chrono::steady_clock::now())},
           .body = report.packed};
 }
 
-http::response peer_sync::answer_quota(const http::request& asked)
+http::response peer_sync::answer_quota(const http::request& request)
 {
-  const auto q = gateway::decode_quota_request(asked.body);
+  const auto q = gateway::decode_quota_request(request.body);
   const auto grant = state_.quota.grant(q.workspace, q.min_units, q.wanted_units,
                                         std::chrono::steady_clock::now());
   if (!grant) {
@@ -361,9 +370,9 @@
   return {.status = http::status::ok, .body = encode_quota_grant(*grant)};
 }
 
-http::response peer_sync::answer_endpoints(const http::request& asked)
+http::response peer_sync::answer_endpoints(const http::request& request)
 {
-  const auto query = http::parse_target(asked.target).query;
+  const auto query = http::parse_target(request.target).query;
   const auto after = parse_number<std::uint64_t>(http::find_header(query, "after"));
   if (!after) {
     return {.status = http::status::bad_request};
@@ -372,23 +381,23 @@
   return {.status = http::status::ok, .body = encode_endpoint_changes(changes)};
 }
 
-asio::awaitable<void> peer_sync::serve(http::request asked, http::response_writer& writer)
+asio::awaitable<void> peer_sync::serve(http::request request, http::response_writer& writer)
 {
   http::response out{.status = http::status::not_found};
   try {
-    if (asked.target == report_target || asked.target == brief_report_target) {
-      out = answer_report(asked);
-    } else if (asked.target == quota_target) {
-      out = answer_quota(asked);
-    } else if (asked.target == configuration_target && state_.configuration()) {
+    if (request.target == report_target || request.target == brief_report_target) {
+      out = answer_report(request);
+    } else if (request.target == quota_target) {
+      out = answer_quota(request);
+    } else if (request.target == configuration_target && state_.configuration()) {
       out = {.status = http::status::ok,
              .body = boost::json::serialize(state_.configuration_document())};
-    } else if (http::parse_target(asked.target).path == endpoints_target) {
-      out = answer_endpoints(asked);
-    } else if (asked.target == crashes_target) {
+    } else if (http::parse_target(request.target).path == endpoints_target) {
+      out = answer_endpoints(request);
+    } else if (request.target == crashes_target) {
       out = {.status = http::status::ok,
              .body = boost::json::serialize(encode_crash_report(state_.crashes.all()))};
-    } else if (asked.target == metrics_target) {
+    } else if (request.target == metrics_target) {
       out = {.status = http::status::ok, .body = state_.counters.exposition()};
     }
   } catch (const gateway::peer_report_error& e) {
--- a/src/relay/peer_sync.h
+++ b/src/relay/peer_sync.h
@@ -1,4 +1,5 @@
-// Exchanges reports with the other gateway daemons, and configurations that one of them lacks.
+// Exchanges reports with the other gateway daemons, periodically and at once after urgent changes,
+// and fetches configurations, endpoints and crash records that this daemon lacks.
 
 #ifndef WISTERIAFLOW_SRC_RELAY_PEER_SYNC_H_
 #define WISTERIAFLOW_SRC_RELAY_PEER_SYNC_H_
@@ -21,71 +22,72 @@
 
 namespace wisteriaflow::relay {
 
-// Not thread-safe.
+// Serves the peers' requests and sends this daemon's own. Not thread-safe.
 class peer_sync {
  public:
   peer_sync(boost::asio::io_context& context, fleet_state& state);
 
-  // Starts to exchange. Never ends.
+  // Starts the exchange. It never ends.
   void start();
 
-  // Takes `units` of a workspace's rate, asking its owner if need be.
+  // Takes `units` from a workspace's rate limit, with a request to the daemon that owns the limit
+  // if needed.
   boost::asio::awaitable<gateway::quota_decision> admit(workspace_id workspace, double units);
 
  private:
   boost::asio::awaitable<void> run();
-  boost::asio::awaitable<void> serve(http::request asked, http::response_writer& writer);
+  boost::asio::awaitable<void> serve(http::request request, http::response_writer& writer);
   boost::asio::awaitable<void> exchange(http::socket_address peer,
                                         fleet_state::report_extent extent);
-  // This daemon's report, packed, since the ids and names in it repeat.
-  struct made_report {
+  // This daemon's report, compressed, because the ids and names in it repeat.
+  struct cached_report {
     std::string packed;
     mono_time made_at;
   };
-  const made_report& current_report(fleet_state::report_extent extent);
+  const cached_report& current_report(fleet_state::report_extent extent);
   void count_report(const std::string& body, const char* direction);
   gateway::peer_report unpack_report(const std::string& body,
                                      const http::headers& fields); // throws peer_report_error
   boost::asio::awaitable<std::optional<gateway::quota_grant>>
   ask_owner(daemon_id owner, gateway::quota_request question);
-  http::response answer_report(const http::request& asked);
-  http::response answer_quota(const http::request& asked);
-  // Something that a peer knows of and this daemon does not.
-  struct fetch_kind {
-    std::string what; // for the log; one of a kind is fetched at a time
+  http::response answer_report(const http::request& request);
+  http::response answer_quota(const http::request& request);
+  // A resource that a peer has in a newer state than this daemon.
+  struct fetch_request {
+    std::string name; // for the log; only one fetch of each name runs at a time
     std::string target;
-    std::function<void(const std::string& body)> take; // throws error if it is unreadable
+    std::function<void(const std::string& body)> apply; // throws error if the body is unreadable
   };
-  boost::asio::awaitable<void> fetch(http::socket_address peer, fetch_kind kind);
+  boost::asio::awaitable<void> fetch(http::socket_address peer, fetch_request request);
   void fetch_configuration(const http::socket_address& peer);
   void fetch_endpoints(const http::socket_address& peer);
-  // Takes in what a peer told, and fetches what it knows more of.
-  void take_report(const gateway::peer_report& told, const http::socket_address& from);
-  // Fetches all that a peer knows of crashes if that has differed from what is known here for
-  // longer than news take.
-  void compare_crashes(const gateway::peer_report& told, mono_time now);
+  // Merges a peer's report, and fetches what the peer has in a newer state.
+  void handle_report(const gateway::peer_report& report, const http::socket_address& from);
+  // Fetches all crash records of a peer if its digest has differed from the own one for longer than
+  // crash records take to propagate.
+  void reconcile_crashes(const gateway::peer_report& report, mono_time now);
   void fetch_crashes(const http::socket_address& peer);
-  http::response answer_endpoints(const http::request& asked);
-  // Starts one round of the exchange.
-  void ask_peers(mono_time now);
-  void tell_news(mono_time now);
-  // Peers that are not being asked.
-  [[nodiscard]] std::vector<http::socket_address> peers_to_ask(mono_time now) const;
-  void ask(const http::socket_address& peer, fleet_state::report_extent extent);
-  // Sends news at once, but news that follow closely share a message.
-  void hurry();
+  http::response answer_endpoints(const http::request& request);
+  // Starts the exchanges of one periodic round.
+  void start_round(mono_time now);
+  void send_urgent_update(mono_time now);
+  // Peers without an exchange in progress.
+  [[nodiscard]] std::vector<http::socket_address> idle_peers(mono_time now) const;
+  void start_exchange(const http::socket_address& peer, fleet_state::report_extent extent);
+  // Schedules an exchange for an urgent update; updates that follow closely share a message.
+  void schedule_urgent_exchange();
 
   boost::asio::io_context& context_;
   fleet_state& state_;
   http::client client_;
   http::server server_;
-  boost::asio::steady_timer wait_;
-  std::set<http::socket_address> asked_; // exchanges under way
+  boost::asio::steady_timer timer_;
+  std::set<http::socket_address> exchanges_in_flight_;
   gateway::gossip_scheduler rounds_;
-  std::map<fleet_state::report_extent, made_report> made_;
-  bool hurried_ = false;
+  std::map<fleet_state::report_extent, cached_report> cached_reports_;
+  bool urgent_update_pending_ = false;
   mono_time next_round_;
-  std::set<std::string> fetches_; // under way, by what they fetch
+  std::set<std::string> fetches_in_flight_; // by fetch_request::name
   std::optional<mono_time> crashes_differ_since_;
 };
 
--- a/src/relay/rollout_sync.cc
+++ b/src/relay/rollout_sync.cc
@@ -18,65 +18,66 @@
 using std::chrono::milliseconds;
 namespace asio = boost::asio;
 
-// A watch answers at once when there is an order; so long it waits for one. It is short enough that
-// one that hangs in a silent connection costs little of an order's time.
+// A watch returns at once if there is a change, and otherwise after this time. It is short so that
+// a watch on a silently dead connection uses up little of an order's time.
 constexpr milliseconds watch_wait{2'000};
 constexpr milliseconds watch_slack{700};
-// Who doesn't lead looks again after this whether it does.
-constexpr milliseconds lead_check_period{500};
-constexpr milliseconds catch_up_period{150};
-// Peers tell how far the orders are known well within this; then it is read here.
-constexpr milliseconds peers_tell_time{1'500};
-constexpr milliseconds conduct_period{400};
+// A daemon that is not a coordinator checks again after this time whether it has become one.
+constexpr milliseconds coordinator_check_period{500};
+constexpr milliseconds list_check_period{150};
+// Peers report the revision up to which they know the orders well within this time; after it, this
+// daemon reads the store itself.
+constexpr milliseconds peer_propagation_time{1'500};
+constexpr milliseconds advance_period{400};
 
 } // namespace
 
 void rollout_sync::start()
 {
-  if (!state_.has_rollouts()) {
+  if (!state_.rollouts_enabled()) {
     return;
   }
   asio::co_spawn(context_, watch(), asio::detached);
-  asio::co_spawn(context_, catch_up(), asio::detached);
-  asio::co_spawn(context_, conduct(), asio::detached);
+  asio::co_spawn(context_, refresh_list(), asio::detached);
+  asio::co_spawn(context_, advance_rollouts(), asio::detached);
 }
 
 asio::awaitable<void> rollout_sync::watch()
 {
   for (unsigned failures = 0;;) {
     const auto after = state_.versions.rollouts_revision();
-    if (after == 0 || !state_.leads(std::chrono::steady_clock::now())) {
-      co_await async_sleep(lead_check_period);
+    if (after == 0 || !state_.is_coordinator(std::chrono::steady_clock::now())) {
+      co_await async_sleep(coordinator_check_period);
       continue;
     }
     auto message = adapter::watch_call(adapter::rollout_kind, after, watch_wait);
     const auto reply = co_await store_.call(std::move(message), "watch", watch_wait + watch_slack);
     if (reply.result == adapter::store_result::expired) {
-      list_wanted_ = true;
+      list_requested_ = true;
     }
     if (reply.result != adapter::store_result::done) {
       co_await async_sleep(store_.backoff(++failures));
       continue;
     }
-    failures = take_changes(reply.body) ? 0 : failures + 1;
+    failures = apply_changes(reply.body) ? 0 : failures + 1;
     if (failures > 0) {
-      list_wanted_ = true;
+      list_requested_ = true;
       co_await async_sleep(store_.backoff(failures));
     }
   }
 }
 
-bool rollout_sync::take_changes(const std::string& body)
+bool rollout_sync::apply_changes(const std::string& body)
 {
   try {
     const auto page = adapter::decode_changes(body);
-    note_nameless(state_, adapter::rollout_kind, page.nameless);
+    report_unnamed_objects(state_, adapter::rollout_kind, page.nameless);
     for (const auto& change : page.changes) {
       if (change.deleted) {
-        stored_.erase(change.object.name);
+        stored_orders_.erase(change.object.name);
         state_.withdraw_rollout(change.object.name, page.revision);
       } else {
-        take(change.object);
+        apply_entry(change.object);
       }
     }
     state_.on_rollouts_read(page.revision);
@@ -88,73 +89,74 @@
   }
 }
 
-bool rollout_sync::lacks_stored() const
+bool rollout_sync::lacks_stored_order() const
 {
   const auto is_missing = [&](const auto& it) {
-    const auto stored = stored_.find(it.first);
+    const auto stored = stored_orders_.find(it.first);
     return gateway::is_open(it.second.latest) &&
-           (stored == stored_.end() || stored->second.order != it.second.latest.order);
+           (stored == stored_orders_.end() || stored->second.order != it.second.latest.order);
   };
   const auto& all = state_.rollouts.all();
-  return state_.is_acting() && std::any_of(all.begin(), all.end(), is_missing);
+  return state_.is_leader() && std::any_of(all.begin(), all.end(), is_missing);
 }
 
 bool rollout_sync::is_list_due(mono_time now)
 {
   if (!state_.versions.awaits_rollouts()) {
     behind_since_.reset();
-    return list_wanted_ || lacks_stored();
+    return list_requested_ || lacks_stored_order();
   }
   behind_since_ = behind_since_.value_or(now);
-  return list_wanted_ || state_.leads(now) || now >= *behind_since_ + peers_tell_time;
+  return list_requested_ || state_.is_coordinator(now) ||
+         now >= *behind_since_ + peer_propagation_time;
 }
 
-asio::awaitable<void> rollout_sync::catch_up()
+asio::awaitable<void> rollout_sync::refresh_list()
 {
   for (unsigned failures = 0;;) {
     if (!is_list_due(std::chrono::steady_clock::now())) {
-      co_await async_sleep(catch_up_period);
+      co_await async_sleep(list_check_period);
       continue;
     }
-    const bool done = co_await list();
+    const bool done = co_await list_rollouts();
     failures = done ? 0 : failures + 1;
-    co_await async_sleep(done ? catch_up_period : store_.backoff(failures));
+    co_await async_sleep(done ? list_check_period : store_.backoff(failures));
   }
 }
 
-asio::awaitable<bool> rollout_sync::list()
+asio::awaitable<bool> rollout_sync::list_rollouts()
 {
-  list_wanted_ = false;
-  const auto all =
+  list_requested_ = false;
+  const auto listed =
       co_await list_objects(store_, state_, adapter::rollout_kind, adapter::list_age::current);
-  if (!all.whole) {
-    list_wanted_ = true;
+  if (!listed.is_complete) {
+    list_requested_ = true;
     co_return false;
   }
   std::set<std::string> present;
-  for (const auto& item : all.items) {
+  for (const auto& item : listed.items) {
     present.insert(item.name);
-    take(item);
+    apply_entry(item);
   }
-  std::vector<std::string> gone;
+  std::vector<std::string> removed;
   for (const auto& [service, e] : state_.rollouts.all()) {
     if (!present.contains(service)) {
-      gone.push_back(service);
+      removed.push_back(service);
     }
   }
-  for (const auto& service : gone) {
-    stored_.erase(service);
-    state_.withdraw_rollout(service, all.revision);
+  for (const auto& service : removed) {
+    stored_orders_.erase(service);
+    state_.withdraw_rollout(service, listed.revision);
   }
-  state_.on_rollouts_read(all.revision);
+  state_.on_rollouts_read(listed.revision);
   co_return true;
 }
 
-void rollout_sync::take(const adapter::stored_object& entry)
+void rollout_sync::apply_entry(const adapter::stored_object& entry)
 {
-  adapter::rollout_entry told;
+  adapter::rollout_entry decoded;
   try {
-    told = adapter::decode_rollout(entry);
+    decoded = adapter::decode_rollout(entry);
   } catch (const adapter::format_error& e) {
     state_.counters.count("rollout_entries_rejected");
     state_.log.write(daemon::log_level::error, "roll-out rejected",
@@ -164,37 +166,40 @@
     return;
   }
   const auto now = state_.fleet_time();
-  gateway::rollout order{.service = told.service,
-                         .order = gateway::order_id(told.service, told.target, told.placed),
+  gateway::rollout order{.service = decoded.service,
+                         .order =
+                             gateway::order_id(decoded.service, decoded.target, decoded.placed),
                          .revision = entry.revision,
-                         .target = told.target,
+                         .target = decoded.target,
                          .ordered_at = now,
-                         .deadline = now + told.time};
-  const auto* known = state_.rollouts.find(told.service);
-  // The state of an earlier order for the same version stands there until the new one's is written.
-  const bool is_news = known == nullptr || known->order != order.order;
-  const bool is_earlier = is_news && known != nullptr && known->target == told.target;
-  if (is_earlier && told.told != gateway::rollout_phase::trial) {
-    told.told.reset();
+                         .deadline = now + decoded.time};
+  const auto* known = state_.rollouts.find(decoded.service);
+  // After a new order for the same version the entry still has the status of the earlier order,
+  // until the new one's status is written.
+  const bool is_new = known == nullptr || known->order != order.order;
+  const bool same_target_as_known = is_new && known != nullptr && known->target == decoded.target;
+  if (same_target_as_known && decoded.told != gateway::rollout_phase::trial) {
+    decoded.told.reset();
   }
-  order.phase = told.told.value_or(gateway::rollout_phase::trial);
-  stored_[told.service] = {.order = order.order, .revision = entry.revision, .told = told.told};
-  if (is_news) {
+  order.phase = decoded.told.value_or(gateway::rollout_phase::trial);
+  stored_orders_[decoded.service] = {
+      .order = order.order, .revision = entry.revision, .written_phase = decoded.told};
+  if (is_new) {
     state_.log.write(daemon::log_level::info, "roll-out ordered",
                      {{"service", order.service},
                       {"version", order.target},
-                      {"for_ms", std::to_string(told.time.count())},
+                      {"for_ms", std::to_string(decoded.time.count())},
                       {"phase", std::string(to_string(order.phase))}});
   }
-  state_.take_rollout(order);
+  state_.apply_rollout(order);
 }
 
-asio::awaitable<void> rollout_sync::conduct()
+asio::awaitable<void> rollout_sync::advance_rollouts()
 {
   for (;;) {
-    co_await async_sleep(conduct_period);
+    co_await async_sleep(advance_period);
     const auto now = read_clocks();
-    if (!state_.leads(now.mono)) {
+    if (!state_.is_coordinator(now.mono)) {
       continue;
     }
     for (const auto& row : state_.version_calls.rows(state_.clock.now(now))) {
@@ -206,15 +211,15 @@
       orders.push_back(e.latest);
     }
     for (auto& order : orders) {
-      judge(order, now);
-      if (state_.is_acting()) {
+      stop_if_bad(order, now);
+      if (state_.is_leader()) {
         co_await advance(std::move(order));
       }
     }
   }
 }
 
-void rollout_sync::take_step(const gateway::rollout& next, const gateway::rollout& before)
+void rollout_sync::apply_phase_change(const gateway::rollout& next, const gateway::rollout& before)
 {
   if (next.phase == before.phase) {
     return;
@@ -229,16 +234,16 @@
                     {"own_calls", std::to_string(sent.calls)},
                     {"own_calls_to_version", std::to_string(sent.to_target)}});
   state_.counters.count("rollout_steps", {{"phase", std::string(to_string(next.phase))}});
-  state_.take_rollout(next);
+  state_.apply_rollout(next);
 }
 
-void rollout_sync::judge(const gateway::rollout& order, const clock_reading& now)
+void rollout_sync::stop_if_bad(const gateway::rollout& order, const clock_reading& now)
 {
   if (!gateway::is_open(order)) {
     return;
   }
   if (const auto stopped = conductor_.roll_back_if_bad(order, state_.rollout_rows, now)) {
-    take_step(*stopped, order);
+    apply_phase_change(*stopped, order);
   }
 }
 
@@ -246,22 +251,22 @@
 {
   const auto* known = state_.rollouts.find(order.service);
   if (known == nullptr || known->order != order.order) {
-    co_return; // replaced meanwhile
+    co_return; // replaced in the meantime
   }
   order = *known;
   const auto now = state_.fleet_time();
   const auto next = conductor_.next_phase(order, state_.rollout_rows, endpoints_of(order), now);
   if (next) {
-    take_step(*next, order);
+    apply_phase_change(*next, order);
     order = *next;
   }
-  const auto fleet = standing(std::chrono::steady_clock::now());
+  const auto fleet = fleet_standing(std::chrono::steady_clock::now());
   if (conductor_.is_complete(order, state_.rollout_rows, fleet, now)) {
     auto done = order;
     done.phase = gateway::rollout_phase::succeeded;
     done.reason = "no call is left at the version before";
     if (co_await write_status(done)) {
-      take_step(done, order);
+      apply_phase_change(done, order);
     }
     co_return;
   }
@@ -270,13 +275,13 @@
 
 asio::awaitable<bool> rollout_sync::write_status(gateway::rollout order)
 {
-  const auto it = stored_.find(order.service);
-  if (it == stored_.end() || it->second.order != order.order) {
-    co_return false; // read first; see lacks_stored()
+  const auto it = stored_orders_.find(order.service);
+  if (it == stored_orders_.end() || it->second.order != order.order) {
+    co_return false; // the store must be read first; see lacks_stored_order()
   }
   const auto shown =
       order.phase == gateway::rollout_phase::moving ? gateway::rollout_phase::trial : order.phase;
-  if (it->second.told == shown) {
+  if (it->second.written_phase == shown) {
     co_return true;
   }
   auto message =
@@ -284,16 +289,17 @@
                                    adapter::encode_rollout_status(order), it->second.revision);
   const auto reply = co_await store_.call(std::move(message), "rollout", store_call_timeout);
   if (reply.result == adapter::store_result::done) {
-    if (const auto written = stored_.find(order.service); written != stored_.end()) {
-      written->second.told = shown;
+    if (const auto written = stored_orders_.find(order.service); written != stored_orders_.end()) {
+      written->second.written_phase = shown;
     }
   }
-  // The revision has changed, by this write or another's; it may have been done without an answer.
-  list_wanted_ = true;
+  // The revision has changed, by this write or by another one; a write without an answer may have
+  // been done.
+  list_requested_ = true;
   co_return reply.result == adapter::store_result::done;
 }
 
-gateway::fleet_status rollout_sync::standing(mono_time now) const
+gateway::fleet_status rollout_sync::fleet_standing(mono_time now) const
 {
   gateway::fleet_status out{.live = {state_.options.id}};
   for (const auto& peer : state_.peers.live(now)) {
--- a/src/relay/rollout_sync.h
+++ b/src/relay/rollout_sync.h
@@ -1,7 +1,8 @@
-// Carries roll-outs between the store and the daemons' decisions: reads operators' orders, stops
-// bad versions, moves traffic over, and writes what became of each order.
+// Connects roll-outs in the store with the daemons' decisions: reads the operators' orders, stops
+// bad versions, moves traffic to new ones, and writes the status of each order.
 //
-// The daemons that lead read the orders and tell the others with their reports.
+// The coordinators read the orders and pass them on to the other daemons in their reports. Every
+// coordinator may stop a bad version; only the leader moves traffic and writes the status.
 
 #ifndef WISTERIAFLOW_SRC_RELAY_ROLLOUT_SYNC_H_
 #define WISTERIAFLOW_SRC_RELAY_ROLLOUT_SYNC_H_
@@ -29,45 +30,47 @@
   {
   }
 
-  // Starts to follow orders, if this deployment has any. Never ends.
+  // Starts to follow orders if the settings enable roll-outs. Never ends.
   void start();
 
  private:
-  // What the store holds of an order, as last read.
+  // An order's entry in the store, as last read.
   struct stored_order {
     std::uint64_t order = 0;
     std::uint64_t revision = 0;
-    std::optional<gateway::rollout_phase> told;
+    std::optional<gateway::rollout_phase> written_phase;
   };
 
   boost::asio::awaitable<void> watch();
-  // Takes an answer to the watch in. False if it cannot be read.
-  bool take_changes(const std::string& body);
-  boost::asio::awaitable<void> catch_up();
-  boost::asio::awaitable<void> conduct();
+  // Applies the answer of a watch. Returns false if it is unreadable.
+  bool apply_changes(const std::string& body);
+  boost::asio::awaitable<void> refresh_list();
+  boost::asio::awaitable<void> advance_rollouts();
 
-  // Whether this daemon has to read all orders now.
+  // Whether this daemon must list all orders now.
   [[nodiscard]] bool is_list_due(mono_time now);
-  // Whether the holder of the duties lacks what the store holds of an order.
-  [[nodiscard]] bool lacks_stored() const;
-  boost::asio::awaitable<bool> list();
-  void take(const adapter::stored_object& entry);
+  // Whether this daemon is the leader and lacks the store's entry of an open order.
+  [[nodiscard]] bool lacks_stored_order() const;
+  // Reads all orders. Returns false if the list is incomplete.
+  boost::asio::awaitable<bool> list_rollouts();
+  void apply_entry(const adapter::stored_object& entry);
 
-  void judge(const gateway::rollout& order, const clock_reading& now);
+  void stop_if_bad(const gateway::rollout& order, const clock_reading& now);
   boost::asio::awaitable<void> advance(gateway::rollout order);
-  // Writes the order's state as it is to be, unless the store holds it. True if it does then.
+  // Writes the order's status unless the store already has it. Returns whether the store has it
+  // now.
   boost::asio::awaitable<bool> write_status(gateway::rollout order);
-  void take_step(const gateway::rollout& next, const gateway::rollout& before);
-  [[nodiscard]] gateway::fleet_status standing(mono_time now) const;
+  void apply_phase_change(const gateway::rollout& next, const gateway::rollout& before);
+  [[nodiscard]] gateway::fleet_status fleet_standing(mono_time now) const;
   [[nodiscard]] gateway::version_endpoint_counts endpoints_of(const gateway::rollout& order) const;
 
   boost::asio::io_context& context_;
   fleet_state& state_;
   store_client& store_;
   gateway::rollout_controller conductor_{{}};
-  std::map<std::string, stored_order> stored_; // by service
+  std::map<std::string, stored_order> stored_orders_; // by service
   std::optional<mono_time> behind_since_;
-  bool list_wanted_ = true;
+  bool list_requested_ = true;
 };
 
 } // namespace wisteriaflow::relay
--- a/src/relay/store_client.cc
+++ b/src/relay/store_client.cc
@@ -9,11 +9,11 @@
 
 using std::chrono::milliseconds;
 
-// The store answers in a few milliseconds; a connection that takes longer than this is to a store
-// that is away.
+// The store answers within a few milliseconds; if connecting takes longer than this, the store is
+// unreachable.
 constexpr milliseconds connect_timeout{500};
 constexpr milliseconds unacknowledged_timeout{1'500};
-constexpr std::size_t list_limit = std::size_t{16} << 20U; // bytes of one answer
+constexpr std::size_t max_response_bytes = std::size_t{16} << 20U; // of one answer
 
 std::string_view to_string(adapter::store_result r)
 {
@@ -37,7 +37,7 @@
 } // namespace
 
 store_client::store_client(boost::asio::io_context& context, fleet_state& state)
-    : client_(context, {.body_limit = list_limit,
+    : client_(context, {.body_limit = max_response_bytes,
                         .connect_timeout = connect_timeout,
                         .unacknowledged_timeout = unacknowledged_timeout,
                         .repeat_stale_get = false}),
@@ -52,10 +52,10 @@
   std::string reason;
   try {
     const auto deadline = std::chrono::steady_clock::now() + timeout;
-    auto whole = co_await client_.call(state_.options.store, std::move(message), deadline);
-    out.result = adapter::result_of(whole.status);
-    out.body = std::move(whole.body);
-    reason = "status " + std::to_string(whole.status);
+    auto response = co_await client_.call(state_.options.store, std::move(message), deadline);
+    out.result = adapter::result_of(response.status);
+    out.body = std::move(response.body);
+    reason = "status " + std::to_string(response.status);
   } catch (const http::http_error& e) {
     reason = e.what();
   }
@@ -67,20 +67,20 @@
     state_.log.write(daemon::log_level::warn, "store call failed",
                      {{"call", name}, {"result", result}, {"reason", reason}});
   }
-  note(answered);
+  record_result(answered);
   co_return out;
 }
 
-void store_client::note(bool answered)
+void store_client::record_result(bool answered)
 {
-  const auto away = outages_.on_call_result(answered, std::chrono::steady_clock::now());
-  if (!away) {
+  const auto outage = outages_.on_call_result(answered, std::chrono::steady_clock::now());
+  if (!outage) {
     return;
   }
   state_.log.write(daemon::log_level::info, "store answers again",
-                   {{"away_ms", std::to_string(away->count())}});
-  if (on_return_) {
-    on_return_();
+                   {{"away_ms", std::to_string(outage->count())}});
+  if (on_recovery_) {
+    on_recovery_();
   }
 }
 
--- a/src/relay/store_client.h
+++ b/src/relay/store_client.h
@@ -1,5 +1,5 @@
-// The one client of the platform's store: deadlines, a pause after failures, and what they say of
-// the store's health.
+// The daemon's only client of the platform's store: applies deadlines, computes the backoff after
+// failures, and detects from the results when the store is back after an outage.
 
 #ifndef WISTERIAFLOW_SRC_RELAY_STORE_CLIENT_H_
 #define WISTERIAFLOW_SRC_RELAY_STORE_CLIENT_H_
@@ -20,7 +20,7 @@
 
 namespace wisteriaflow::relay {
 
-// What became of a call. After `failed`, a write may have been done or may yet be.
+// Result of a call. After `failed`, a write may have been done or may still be done.
 struct store_reply {
   adapter::store_result result = adapter::store_result::failed;
   std::string body;
@@ -31,26 +31,26 @@
  public:
   store_client(boost::asio::io_context& context, fleet_state& state);
 
-  // Makes one call; `name` stands for its kind in metrics.
+  // Makes one call. `name` is the label of the call in metrics and log lines.
   boost::asio::awaitable<store_reply> call(http::request message, std::string name,
                                            std::chrono::milliseconds timeout);
 
-  // Told when the store answers again after calls had failed for at least `outage`.
-  void on_return(std::function<void()> callback) { on_return_ = std::move(callback); }
+  // `callback` runs when the store answers again after calls had failed for at least `min_outage`.
+  void set_recovery_callback(std::function<void()> callback) { on_recovery_ = std::move(callback); }
 
-  // Pause before a failed call is made again, after so many failures in a row; see retry_policy.
+  // Returns the pause before the next attempt after `failures` failures in a row; see retry_policy.
   [[nodiscard]] std::chrono::milliseconds backoff(unsigned failures);
 
-  // Entries lapse only after three missed heartbeats; a shorter outage makes none vanish.
-  static constexpr std::chrono::milliseconds outage{2'000};
+  // Entries expire only after three missed heartbeats, so a shorter outage removes none.
+  static constexpr std::chrono::milliseconds min_outage{2'000};
 
  private:
-  void note(bool answered);
+  void record_result(bool answered);
 
   http::client client_;
   fleet_state& state_;
-  outage_detector outages_{outage};
-  std::function<void()> on_return_;
+  outage_detector outages_{min_outage};
+  std::function<void()> on_recovery_;
   gateway::retry_policy retries_;
 };
 
--- a/src/relay/store_list.cc
+++ b/src/relay/store_list.cc
@@ -10,9 +10,9 @@
 namespace wisteriaflow::relay {
 namespace {
 
-// A page that the store refuses is asked for again so often before the list is begun anew: when a
-// whole fleet starts at once each refusal would otherwise cost the pages before it once more.
-constexpr unsigned most_page_retries = 5;
+// A refused page is retried this often before the whole list starts again. When a whole fleet
+// starts at once, each refusal would otherwise cost all previous pages again.
+constexpr unsigned max_page_retries = 5;
 
 } // namespace
 
@@ -25,7 +25,7 @@
     auto message = adapter::list_call(kind, after, age);
     const auto reply = co_await store.call(std::move(message), "list", store_call_timeout);
     if (reply.result != adapter::store_result::done) {
-      if (after.empty() || ++failures > most_page_retries) {
+      if (after.empty() || ++failures > max_page_retries) {
         co_return out;
       }
       co_await async_sleep(store.backoff(failures));
@@ -34,16 +34,16 @@
     failures = 0;
     try {
       auto page = adapter::decode_list(reply.body);
-      // Changes between two pages are found again by watching from the earliest; pages of a stale
-      // list may be of different age.
+      // A watch from the earliest revision finds changes made between two pages; the pages of a
+      // stale list may have different revisions.
       out.revision = after.empty() ? page.revision : std::min(out.revision, page.revision);
-      note_nameless(state, kind, page.nameless);
+      report_unnamed_objects(state, kind, page.nameless);
       for (auto& item : page.items) {
         after = item.name;
         out.items.push_back(std::move(item));
       }
       if (!page.has_more || page.items.empty()) {
-        out.whole = true;
+        out.is_complete = true;
         co_return out;
       }
     } catch (const adapter::format_error& e) {
@@ -54,7 +54,7 @@
   }
 }
 
-void note_nameless(fleet_state& state, std::string_view kind, std::size_t number)
+void report_unnamed_objects(fleet_state& state, std::string_view kind, std::size_t number)
 {
   if (number == 0) {
     return;
--- a/src/relay/store_list.h
+++ b/src/relay/store_list.h
@@ -1,4 +1,4 @@
-// Reads a whole kind of objects from the platform's store, page by page.
+// Reads all objects of one kind from the platform's store, page by page.
 
 #ifndef WISTERIAFLOW_SRC_RELAY_STORE_LIST_H_
 #define WISTERIAFLOW_SRC_RELAY_STORE_LIST_H_
@@ -17,21 +17,23 @@
 
 namespace wisteriaflow::relay {
 
-// Of one call of the store, but for watches.
+// Timeout of every store call except watches.
 inline constexpr std::chrono::milliseconds store_call_timeout{1'200};
 
+// Objects read by list_objects().
 struct listing {
-  bool whole = false; // else a page is missing
+  bool is_complete = false; // false: a page is missing
   std::vector<adapter::stored_object> items;
-  std::uint64_t revision = 0; // of the store
+  std::uint64_t revision = 0; // of the store, from which to watch for changes
 };
 
-// `kind` is kept by the caller until the list is read. What cannot be read is logged.
+// Reads all objects of `kind`, which must stay valid until the list is read. Unreadable answers are
+// logged.
 boost::asio::awaitable<listing> list_objects(store_client& store, fleet_state& state,
                                              std::string_view kind, adapter::list_age age);
 
-// Tells of objects without a readable name, if there are any.
-void note_nameless(fleet_state& state, std::string_view kind, std::size_t number);
+// Logs and counts `number` objects without a readable name, if there are any.
+void report_unnamed_objects(fleet_state& state, std::string_view kind, std::size_t number);
 
 } // namespace wisteriaflow::relay
 
--- a/src/relay/store_sync.h
+++ b/src/relay/store_sync.h
@@ -1,4 +1,4 @@
-// Follows the configuration and the endpoints in the store, and enters this daemon there.
+// Follows the configuration and the endpoints in the store, and registers this daemon there.
 
 #ifndef WISTERIAFLOW_SRC_RELAY_STORE_SYNC_H_
 #define WISTERIAFLOW_SRC_RELAY_STORE_SYNC_H_
@@ -26,48 +26,51 @@
  public:
   store_sync(boost::asio::io_context& context, fleet_state& state, store_client& store);
 
-  // Starts to follow. Never ends.
+  // Starts to follow the store. Never ends.
   void start();
 
-  // Removes this daemon's entry; once, at the end of a drain.
-  boost::asio::awaitable<void> withdraw();
+  // Removes this daemon's entry from the store; call once, at the end of a drain.
+  boost::asio::awaitable<void> deregister_daemon();
 
  private:
   boost::asio::awaitable<void> follow_configuration();
   boost::asio::awaitable<void> follow_endpoints();
   boost::asio::awaitable<void> follow_daemons();
-  // The changes after a revision; none of them unless `result` says done.
-  struct change_reading {
+  // The changes after a revision; `page` is empty unless `result` is done.
+  struct change_read_result {
     adapter::store_result result = adapter::store_result::failed;
     adapter::change_page page;
   };
 
-  boost::asio::awaitable<change_reading> read_changes(std::string_view kind, std::uint64_t revision,
-                                                      std::chrono::milliseconds wait);
-  // For how long the next watch of the configuration waits.
+  boost::asio::awaitable<change_read_result>
+  read_changes(std::string_view kind, std::uint64_t revision, std::chrono::milliseconds wait);
+  // Maximum wait of the next configuration watch.
   [[nodiscard]] std::chrono::milliseconds configuration_wait() const;
   boost::asio::awaitable<void> watch_configuration(std::uint64_t revision);
-  // Reads changes whenever they are due, until the store has forgotten some of them.
+  // Reads changes whenever they are due. Returns when the store no longer has the history since the
+  // last read.
   boost::asio::awaitable<void> watch_endpoints();
   boost::asio::awaitable<void> wait_until_due();
-  boost::asio::awaitable<void> enter();
-  void take_endpoints(const listing& all);
-  // Takes change `i` of a page.
-  // Takes a list in with what has changed since it was true. False if that is not to be had.
-  boost::asio::awaitable<bool> take_list_and_changes(const listing& all);
-  void take_endpoint_changes(const adapter::change_page& page);
-  // Takes in what has changed up to a question of `asked_at`.
-  void take_read(const adapter::change_page& page, mono_time asked_at);
-  void take_endpoint_change(const adapter::change_page& page, std::size_t i);
-  // An endpoint's entry cannot be used: what it named before is withdrawn.
-  void reject(const adapter::stored_object& entry, std::uint64_t revision,
-              const std::string& reason);
-  void on_store_return();
+  boost::asio::awaitable<void> register_daemon();
+  void apply_endpoint_list(const listing& all);
+  // Applies a list together with the changes made since it was current. Returns false if these
+  // changes cannot be read.
+  boost::asio::awaitable<bool> apply_list_and_changes(const listing& all);
+  void apply_endpoint_changes(const adapter::change_page& page);
+  // Applies the changes read by a request that was sent at `asked_at`.
+  void apply_page(const adapter::change_page& page, mono_time asked_at);
+  // Applies change `i` of a page.
+  void apply_endpoint_change(const adapter::change_page& page, std::size_t i);
+  // Handles an endpoint's entry that cannot be used: logs it, and removes the endpoint as of
+  // `revision`.
+  void reject_endpoint(const adapter::stored_object& entry, std::uint64_t revision,
+                       const std::string& reason);
+  void on_store_recovery();
 
   boost::asio::io_context& context_;
   fleet_state& state_;
   store_client& store_;
-  std::map<std::string, std::uint64_t> rejected_; // entries in the log, with their revision
+  std::map<std::string, std::uint64_t> logged_rejections_; // revision by entry name
 };
 
 } // namespace wisteriaflow::relay
--- a/test/gateway_system/counting_endpoint.cc
+++ b/test/gateway_system/counting_endpoint.cc
@@ -11,9 +11,9 @@
 constexpr std::chrono::milliseconds event_pause{20};
 constexpr std::chrono::milliseconds slow_time{500};
 constexpr std::chrono::seconds stall_time{20};
-constexpr std::chrono::milliseconds asked_pause{1'500};
-// What was held up on a harmed way arrives within this after its end.
-constexpr std::chrono::milliseconds harm_aftermath{1'000};
+constexpr std::chrono::milliseconds requested_pause_time{1'500};
+// Data delayed by a network fault arrives within this time after the fault has ended.
+constexpr std::chrono::milliseconds fault_aftermath{1'000};
 
 std::string event(int number, const std::string& request)
 {
@@ -23,7 +23,7 @@
 
 } // namespace
 
-std::string whole_body(const std::string& endpoint, const std::string& id)
+std::string complete_body(const std::string& endpoint, const std::string& id)
 {
   return "made by " + endpoint + " for " + id;
 }
@@ -33,7 +33,7 @@
   return "signature of " + endpoint + " for " + id;
 }
 
-std::string whole_stream(const std::string& id)
+std::string complete_stream(const std::string& id)
 {
   std::string out;
   for (int i = 1; i <= last_event; ++i) {
@@ -48,27 +48,27 @@
                                         [&](const auto& r) { return r.at > since; }));
 }
 
-void counting_endpoint::note_harm(mono_time since, mono_time until)
+void counting_endpoint::add_network_fault(mono_time since, mono_time until)
 {
-  harms_.emplace_back(since, until + harm_aftermath);
+  network_faults_.emplace_back(since, until + fault_aftermath);
 }
 
-bool counting_endpoint::was_way_harmed_at(mono_time at) const
+bool counting_endpoint::had_network_fault_at(mono_time at) const
 {
-  return std::any_of(harms_.begin(), harms_.end(),
-                     [at](const auto& harm) { return harm.first <= at && at <= harm.second; });
+  return std::any_of(network_faults_.begin(), network_faults_.end(),
+                     [at](const auto& fault) { return fault.first <= at && at <= fault.second; });
 }
 
-void counting_endpoint::add_terms(http::response& to, const said_terms& said)
+void counting_endpoint::add_terms(http::response& to, const announced_terms& announced)
 {
-  if (said.leaving) {
+  if (announced.leaving) {
     to.fields.push_back({.name = "Server-Leaving", .value = "1"});
   }
-  if (said.rate > 0) {
-    to.fields.push_back({.name = "Server-Limit", .value = std::to_string(said.rate)});
+  if (announced.rate > 0) {
+    to.fields.push_back({.name = "Server-Limit", .value = std::to_string(announced.rate)});
   }
-  if (said.pause.count() > 0) {
-    const std::chrono::duration<double> seconds = said.pause;
+  if (announced.requested_pause.count() > 0) {
+    const std::chrono::duration<double> seconds = announced.requested_pause;
     to.fields.push_back({.name = "Retry-After", .value = std::to_string(seconds.count())});
   }
 }
@@ -84,57 +84,59 @@
                                                       http::response_writer& w)
 {
   const auto request = std::string(http::find_header(r.fields, "Request-Id"));
-  const auto now = random_() % 2 == 0 ? misbehaviour_ : misbehaviour::none;
-  said_terms said{.leaving = leaving_, .rate = rate_};
-  if (now == misbehaviour::pauses) {
-    said.pause = asked_pause;
+  const auto active = random_() % 2 == 0 ? misbehaviour_ : misbehaviour::none;
+  announced_terms announced{.leaving = leaving_, .rate = rate_};
+  if (active == misbehaviour::pauses) {
+    announced.requested_pause = requested_pause_time;
   }
-  received_.push_back({.id = request, .at = std::chrono::steady_clock::now(), .said = said});
-  if (now == misbehaviour::sheds || now == misbehaviour::pauses) {
+  received_.push_back(
+      {.id = request, .at = std::chrono::steady_clock::now(), .announced = announced});
+  if (active == misbehaviour::sheds || active == misbehaviour::pauses) {
     http::response refusal{.status = 503, .fields = {{"Not-Executed", "1"}}};
-    add_terms(refusal, said);
+    add_terms(refusal, announced);
     co_await w.send(std::move(refusal));
     co_return;
   }
   ++runs_[request];
-  if (r.path == deadly_path) {
-    on_deadly();
+  if (r.path == crash_path) {
+    on_crash_request();
     co_return;
   }
-  if (now == misbehaviour::stalls) {
+  if (active == misbehaviour::stalls) {
     co_await pause(stall_time);
     co_return;
   }
-  if (now == misbehaviour::is_slow) {
+  if (active == misbehaviour::is_slow) {
     co_await pause(slow_time);
   }
   if (r.path.starts_with("/stream/") || r.path.starts_with("/resumable/")) {
-    co_await stream(r, now, said, w);
+    co_await stream(r, active, announced, w);
     co_return;
   }
-  if (now == misbehaviour::cuts) {
+  if (active == misbehaviour::cuts) {
     w.abort();
     co_return;
   }
   auto out = head_for(request);
-  out.status = now == misbehaviour::fails ? 500 : 200;
-  out.body = whole_body(id_, request);
-  add_terms(out, said);
+  out.status = active == misbehaviour::fails ? 500 : 200;
+  out.body = complete_body(id_, request);
+  add_terms(out, announced);
   co_await w.send(std::move(out));
 }
 
 boost::asio::awaitable<void> counting_endpoint::stream(const fakes::fake_request& r,
-                                                       misbehaviour now, said_terms said,
+                                                       misbehaviour active,
+                                                       announced_terms announced,
                                                        http::response_writer& w)
 {
   const auto request = std::string(http::find_header(r.fields, "Request-Id"));
   const int after = std::stoi(std::string(http::find_header(r.fields, "Last-Event-Id", "0")));
   auto head = head_for(request);
   head.fields.push_back({.name = "Content-Type", .value = "text/event-stream"});
-  add_terms(head, said);
+  add_terms(head, announced);
   co_await w.start_stream(std::move(head));
   for (int i = after + 1; i <= last_event; ++i) {
-    if (now == misbehaviour::cuts && i > events_before_a_cut) {
+    if (active == misbehaviour::cuts && i > events_before_a_cut) {
       const auto part = "id: " + std::to_string(i) + "\nda";
       co_await w.write_chunk(part);
       w.abort();
--- a/test/gateway_system/counting_endpoint.h
+++ b/test/gateway_system/counting_endpoint.h
@@ -1,5 +1,5 @@
-// An endpoint of the platform that remembers what it ran, misbehaves for a part of its requests,
-// and ends under one kind of them.
+// A fake endpoint that records the requests that it ran, misbehaves on half of them if told to, and
+// crashes on requests to one path.
 
 #ifndef WISTERIAFLOW_TEST_GATEWAY_SYSTEM_COUNTING_ENDPOINT_H_
 #define WISTERIAFLOW_TEST_GATEWAY_SYSTEM_COUNTING_ENDPOINT_H_
@@ -18,41 +18,41 @@
 
 namespace wisteriaflow::gateway_system_tests {
 
-// What an endpoint does with a part of its requests.
+// What an endpoint does with half of its requests.
 enum class misbehaviour {
   none,
-  sheds,   // refuses as not run
-  pauses,  // the same, and asks the daemon for a pause
-  fails,   // runs it and answers with its own 500
-  cuts,    // runs it and closes the connection, a stream in the middle of an event
-  stalls,  // runs it and answers nothing for longer than any call lasts
-  is_slow, // answers half a second later
+  sheds,   // refuses the request as not executed
+  pauses,  // refuses the same way and asks the daemon for a pause
+  fails,   // runs the request and answers with its own 500
+  cuts,    // runs it and closes the connection; in a stream, in the middle of an event
+  stalls,  // runs it and does not answer before the call's deadline
+  is_slow, // answers half a second late
 };
 
-// A request to this path ends the endpoint that begins to run it.
-inline constexpr const char* deadly_path = "/unsafe/deadly";
+// A request to this path ends the endpoint that starts to run it.
+inline constexpr const char* crash_path = "/unsafe/deadly";
 
-// The body that `endpoint` answers to the request `id`.
-[[nodiscard]] std::string whole_body(const std::string& endpoint, const std::string& id);
+// The body of the answer of `endpoint` to the request `id`.
+[[nodiscard]] std::string complete_body(const std::string& endpoint, const std::string& id);
 
 // The signature of the answer of `endpoint` to the request `id`.
 [[nodiscard]] std::string signature_of(const std::string& endpoint, const std::string& id);
 
-// The whole stream that answers the request `id`, whichever endpoints had a part in it.
-[[nodiscard]] std::string whole_stream(const std::string& id);
+// The complete stream that answers the request `id`, also if several endpoints served parts of it.
+[[nodiscard]] std::string complete_stream(const std::string& id);
 
-// What an endpoint says of itself in an answer.
-struct said_terms {
+// The terms that an endpoint states in an answer.
+struct announced_terms {
   bool leaving = false;
-  double rate = 0;                    // requests/s that it takes of all daemons; 0: any number
-  std::chrono::milliseconds pause{0}; // that it asks the daemon for
+  double rate = 0; // requests/s that it accepts from all daemons together; 0: no limit
+  std::chrono::milliseconds requested_pause{0}; // that it asks the calling daemon for; 0: none
 };
 
-// A request that came, run or not.
+// A request that arrived, whether it ran or not.
 struct received_request {
   std::string id;
   mono_time at;
-  said_terms said; // in its answer
+  announced_terms announced; // in the answer to it
 };
 
 class counting_endpoint final : public fakes::fake_server {
@@ -63,34 +63,34 @@
   }
 
   [[nodiscard]] const std::string& id() const { return id_; }
-  // How often each request ran here.
+  // How often each request ran on this endpoint, by request id.
   [[nodiscard]] const std::map<std::string, int>& runs() const { return runs_; }
   [[nodiscard]] const std::vector<received_request>& received() const { return received_; }
-  // Requests that came, run or not, after `since`.
+  // Number of requests that arrived after `since`, whether they ran or not.
   [[nodiscard]] int received_after(mono_time since) const;
 
-  // Called when a request to `deadly_path` begins to run, to end this endpoint.
-  std::function<void()> on_deadly = [] {};
+  // Called when a request to `crash_path` starts to run; must end this endpoint.
+  std::function<void()> on_crash_request = [] {};
 
-  // Its answers say from now on that it leaves, or that it takes so many requests a second of all
-  // daemons together; 0: any number.
-  void say_leaving() { leaving_ = true; }
-  void name_rate(double rate) { rate_ = rate; }
+  // All later answers state that this endpoint leaves, or that it accepts `rate` requests per
+  // second from all daemons together (0: no limit).
+  void announce_leaving() { leaving_ = true; }
+  void announce_rate_limit(double rate) { rate_ = rate; }
 
-  // The way to it is harmed from `since` on, and until a second after `until`.
-  void note_harm(mono_time since, mono_time until);
-  [[nodiscard]] bool was_way_harmed_at(mono_time at) const;
+  // Records that a network fault affects this endpoint from `since` until one second after `until`.
+  void add_network_fault(mono_time since, mono_time until);
+  [[nodiscard]] bool had_network_fault_at(mono_time at) const;
 
-  // Half of the requests meet `kind` from now on.
+  // From now on, half of the requests meet `kind`.
   void misbehave(misbehaviour kind) { misbehaviour_ = kind; }
 
  private:
   boost::asio::awaitable<void> serve(fakes::fake_request r, http::response_writer& w) override;
-  boost::asio::awaitable<void> stream(const fakes::fake_request& r, misbehaviour now,
-                                      said_terms said, http::response_writer& w);
+  boost::asio::awaitable<void> stream(const fakes::fake_request& r, misbehaviour active,
+                                      announced_terms announced, http::response_writer& w);
   [[nodiscard]] http::response head_for(const std::string& request) const;
-  // Adds what an answer says of this endpoint.
-  static void add_terms(http::response& to, const said_terms& said);
+  // Adds the header fields that state the terms.
+  static void add_terms(http::response& to, const announced_terms& announced);
 
   std::string id_;
   std::mt19937_64 random_;
@@ -99,7 +99,7 @@
   bool leaving_ = false;
   double rate_ = 0;
   std::vector<received_request> received_;
-  std::vector<std::pair<mono_time, mono_time>> harms_;
+  std::vector<std::pair<mono_time, mono_time>> network_faults_;
 };
 
 } // namespace wisteriaflow::gateway_system_tests
--- a/test/gateway_system/fault_proxy.cc
+++ b/test/gateway_system/fault_proxy.cc
@@ -20,7 +20,7 @@
 using boost::system::error_code;
 
 constexpr std::chrono::milliseconds delay{150};
-constexpr std::size_t piece_size = 16'384; // bytes
+constexpr std::size_t chunk_size = 16'384; // bytes
 
 } // namespace
 
@@ -28,15 +28,16 @@
   tcp::socket client;
   tcp::socket server;
   std::shared_ptr<network_fault> fault;
-  bool lost_bytes = false;
+  bool has_dropped_bytes = false;
 
-  // Drops the piece if the network does; what follows a lost piece must be lost, too.
-  bool loses(bool to_client)
+  // Returns whether data must be dropped: because of the present fault, or because earlier data of
+  // this connection was dropped and TCP delivers no later data without it.
+  bool drops(bool to_client)
   {
     const bool lost =
         *fault == network_fault::silent || (*fault == network_fault::answers_lost && to_client);
-    lost_bytes = lost_bytes || lost;
-    return lost_bytes;
+    has_dropped_bytes = has_dropped_bytes || lost;
+    return has_dropped_bytes;
   }
 
   void close()
@@ -103,22 +104,22 @@
     tcp::socket server(context_);
     co_await server.async_connect(target_, asio::redirect_error(asio::use_awaitable, ec));
     if (ec) {
-      continue; // the client's connection closes with its socket
+      continue; // the client's connection is closed with its socket
     }
     const auto c = std::make_shared<connection>(
         connection{.client = std::move(client), .server = std::move(server), .fault = fault_});
     std::erase_if(connections_, [](const auto& each) { return each.expired(); });
     connections_.push_back(c);
-    asio::co_spawn(context_, carry(c, false), asio::detached);
-    asio::co_spawn(context_, carry(c, true), asio::detached);
+    asio::co_spawn(context_, forward(c, false), asio::detached);
+    asio::co_spawn(context_, forward(c, true), asio::detached);
   }
 }
 
-asio::awaitable<void> fault_proxy::carry(std::shared_ptr<connection> c, bool to_client)
+asio::awaitable<void> fault_proxy::forward(std::shared_ptr<connection> c, bool to_client)
 {
   auto& from = to_client ? c->server : c->client;
   auto& to = to_client ? c->client : c->server;
-  std::array<char, piece_size> buf{};
+  std::array<char, chunk_size> buf{};
   error_code ec;
   auto token = asio::redirect_error(asio::use_awaitable, ec);
   asio::steady_timer timer(from.get_executor());
@@ -127,7 +128,7 @@
     if (ec) {
       break;
     }
-    if (c->loses(to_client)) {
+    if (c->drops(to_client)) {
       continue;
     }
     if (*c->fault == network_fault::delayed) {
@@ -139,8 +140,8 @@
       break;
     }
   }
-  // An end is lost like bytes are.
-  if (!c->loses(to_client)) {
+  // The end of a stream is dropped like data.
+  if (!c->drops(to_client)) {
     c->close();
   }
 }
--- a/test/gateway_system/fault_proxy.h
+++ b/test/gateway_system/fault_proxy.h
@@ -1,5 +1,7 @@
-// A TCP proxy that harms what it carries, as a network does: delays, resets, silence, answers lost
-// on the way back.
+// A TCP proxy that injects network faults: delays, connection resets, silence, and lost answers.
+//
+//   fault_proxy proxy(context, "127.0.0.1", server_address);
+//   proxy.set(network_fault::silent); // clients connect to proxy.address()
 
 #ifndef WISTERIAFLOW_TEST_GATEWAY_SYSTEM_FAULT_PROXY_H_
 #define WISTERIAFLOW_TEST_GATEWAY_SYSTEM_FAULT_PROXY_H_
@@ -16,18 +18,19 @@
 
 namespace wisteriaflow::gateway_system_tests {
 
-// What happens to bytes. A connection that lost some of them carries nothing ever after.
+// What happens to forwarded data. A connection that has dropped data forwards nothing any more,
+// also after the fault has ended.
 enum class network_fault {
   none,
-  delayed,      // each piece waits for 150 ms
-  silent,       // bytes vanish in both directions
-  answers_lost, // bytes towards the client vanish
+  delayed,      // each chunk is delayed by 150 ms
+  silent,       // data in both directions is dropped
+  answers_lost, // data towards the client is dropped
 };
 
-// Not thread-safe. Lives as long as its context runs.
+// Forwards connections to one server. Not thread-safe; must live as long as its context runs.
 class fault_proxy {
  public:
-  // Listens on a port of `host` that the kernel chooses and connects to `target`.
+  // Listens on a port of `host` chosen by the kernel and connects to `target`.
   fault_proxy(boost::asio::io_context& context, const std::string& host,
               http::socket_address target);
   fault_proxy(const fault_proxy&) = delete;
@@ -36,20 +39,20 @@
 
   [[nodiscard]] http::socket_address address() const;
 
-  // From now on, for connections that are open and new ones.
+  // Sets the fault for open and new connections.
   void set(network_fault fault) { *fault_ = fault; }
 
-  // Resets every open connection.
+  // Resets all open connections.
   void reset_connections();
 
-  // The same, and refuses new ones, as when the process behind it has ended.
+  // Resets all open connections and refuses new ones, as if the process behind the proxy had ended.
   void close();
 
  private:
   struct connection;
 
   boost::asio::awaitable<void> accept();
-  static boost::asio::awaitable<void> carry(std::shared_ptr<connection> c, bool to_client);
+  static boost::asio::awaitable<void> forward(std::shared_ptr<connection> c, bool to_client);
 
   boost::asio::io_context& context_;
   boost::asio::ip::tcp::acceptor acceptor_;
--- a/test/gateway_system/gateway_fleet.cc
+++ b/test/gateway_system/gateway_fleet.cc
@@ -19,8 +19,8 @@
 
 namespace json = boost::json;
 
-constexpr std::chrono::seconds time_to_start{2};
-constexpr int places = 64;
+constexpr std::chrono::seconds start_grace{2};
+constexpr int endpoint_slots = 64;
 
 std::string make_folder()
 {
@@ -58,7 +58,7 @@
 {
   daemons_.clear();
   std::error_code ec;
-  std::filesystem::remove_all(folder_, ec); // what stays is a few logs
+  std::filesystem::remove_all(folder_, ec); // if it fails, only some logs remain
 }
 
 std::string gateway_fleet::settings_of(const gateway_process& d,
@@ -72,7 +72,7 @@
          "\n[listen]\ncallers = " + to_string(d.callers) +
          "\naddresses = " + to_string(d.addresses) + "\nreadiness = " + to_string(d.readiness) +
          "\npeers = " + to_string(d.peers) + (seeds.empty() ? "" : "\n[peers]\nseeds = " + seeds) +
-         "\n[store]\naddress = " + to_string(d.way_to_store->address()) +
+         "\n[store]\naddress = " + to_string(d.store_proxy->address()) +
          "\n[drain]\ngrace_s = " + std::to_string(drain_grace.count()) +
          "\nendpoint_notice_ms = " + std::to_string(endpoint_notice.count()) +
          "\n[retries]\nratio = 0.2\nslack = 100\n";
@@ -88,8 +88,8 @@
   d->readiness = free[1];
   d->peers = free[2];
   d->addresses = free[3];
-  d->way_to_store = std::make_unique<fault_proxy>(context_, proxies_host_, store_.address());
-  d->disturbed_until = std::chrono::steady_clock::now() + time_to_start;
+  d->store_proxy = std::make_unique<fault_proxy>(context_, proxies_host_, store_.address());
+  d->disturbed_until = std::chrono::steady_clock::now() + start_grace;
   const auto file = folder_ + "/" + d->id + ".ini";
   std::ofstream(file) << settings_of(*d, options);
   d->running = std::make_unique<system_tests::process>(
@@ -104,7 +104,7 @@
   const auto id = "i-" + std::to_string(++last_endpoint_);
   proxied_endpoint made;
   made.endpoint = std::make_unique<counting_endpoint>(context_, id, last_endpoint_);
-  made.way = std::make_unique<fault_proxy>(context_, proxies_host_, made.endpoint->address());
+  made.proxy = std::make_unique<fault_proxy>(context_, proxies_host_, made.endpoint->address());
   auto& kept = endpoints_.emplace(id, std::move(made)).first->second;
   write_endpoint(kept, "ready");
   return kept;
@@ -114,9 +114,9 @@
 {
   store_.put("servers", e.endpoint->id(),
              {{"service", "chat"},
-              {"address", to_string(e.way->address())},
+              {"address", to_string(e.proxy->address())},
               {"zone", "z"},
-              {"slots", places},
+              {"slots", endpoint_slots},
               {"state", state}});
 }
 
@@ -131,7 +131,7 @@
 void gateway_fleet::crash(const std::string& id)
 {
   retire(id).close();
-  retired_.back().way->close();
+  retired_.back().proxy->close();
 }
 
 std::vector<const counting_endpoint*> gateway_fleet::all_endpoints() const
--- a/test/gateway_system/gateway_fleet.h
+++ b/test/gateway_system/gateway_fleet.h
@@ -1,5 +1,9 @@
-// Gateway daemons as processes, with fakes of the platform's store and of endpoints in this one.
-// Daemons reach the store, and every endpoint, through proxies that can harm the way.
+// Starts gateway daemons as separate processes, with a fake store and fake endpoints in the test's
+// process. Daemons reach the store and every endpoint through proxies that can inject faults.
+//
+//   gateway_fleet fleet(context);
+//   fleet.add_endpoint();
+//   auto& d = fleet.start_daemon(); // then send calls to d.callers
 
 #ifndef WISTERIAFLOW_TEST_GATEWAY_SYSTEM_GATEWAY_FLEET_H_
 #define WISTERIAFLOW_TEST_GATEWAY_SYSTEM_GATEWAY_FLEET_H_
@@ -20,38 +24,39 @@
 
 namespace wisteriaflow::gateway_system_tests {
 
-// One process, and what is known of it.
+// A daemon's process and its state as far as the test knows it.
 struct gateway_process {
   std::string id;
   http::socket_address callers;
   http::socket_address readiness;
   http::socket_address peers;
-  http::socket_address addresses; // for the question which daemons to use
-  std::unique_ptr<fault_proxy> way_to_store;
+  http::socket_address addresses; // where callers ask which daemons to use
+  std::unique_ptr<fault_proxy> store_proxy;
   std::unique_ptr<system_tests::process> running;
-  mono_time disturbed_until; // a signal, or a fault on its way to the store, is felt up to here
-  std::optional<mono_time> told_to_end_at; // by SIGTERM, which is no disturbance
-  bool gone = false;                       // the process has ended
-  bool was_stopped = false;                // and went on, as after a freeze
+  mono_time disturbed_until; // end of the effects of signals other than SIGTERM, and of faults on
+                             // the way to the store
+  std::optional<mono_time> sigterm_at; // SIGTERM does not count as a disturbance
+  bool has_ended = false;
+  bool was_suspended = false; // was stopped with SIGSTOP and continued
 
-  [[nodiscard]] bool is_calm_since(mono_time then) const { return disturbed_until < then; }
+  [[nodiscard]] bool is_undisturbed_since(mono_time then) const { return disturbed_until < then; }
 };
 
-// An endpoint with the proxy before it.
+// An endpoint and the proxy through which daemons reach it.
 struct proxied_endpoint {
   std::unique_ptr<counting_endpoint> endpoint;
-  std::unique_ptr<fault_proxy> way;
+  std::unique_ptr<fault_proxy> proxy;
 };
 
 struct daemon_options {
-  std::string log; // a file for the output; empty: one that is removed at the end
+  std::string log; // file for the output; if empty, a temporary one
   std::string log_level = "info";
 };
 
-// Not thread-safe.
+// The daemons, the endpoints and the store of one test. Not thread-safe.
 class gateway_fleet {
  public:
-  // The host of every call's route.
+  // The host name of every route.
   static constexpr const char* host = "shop.example";
   static constexpr std::chrono::milliseconds route_timeout{3'000};
   static constexpr std::chrono::milliseconds endpoint_notice{3'000};
@@ -62,26 +67,28 @@
   gateway_fleet(const gateway_fleet&) = delete;
   gateway_fleet& operator=(const gateway_fleet&) = delete;
 
-  // Starts a daemon under a new name, at new ports. It gets 2 s to become ready before it counts as
-  // undisturbed.
+  // Starts a daemon with a new id and new ports. It counts as disturbed for 2 s, in which it
+  // becomes ready.
   gateway_process& start_daemon(const daemon_options& options = {});
-  // Adds an endpoint of the one service and writes it to the store.
+  // Adds an endpoint of the only service and writes it to the store.
   proxied_endpoint& add_endpoint();
+  // Writes the endpoint's entry with `state`, for example "ready" or "draining".
   void write_endpoint(const proxied_endpoint& e, const std::string& state);
 
-  // Writes the next configuration: the four routes /safe/, /unsafe/, /stream/ and /resumable/, and
-  // one more /extra-N/ for each version N up to this one. Returns its version.
+  // Writes the next version of the configuration, with the four routes /safe/, /unsafe/, /stream/
+  // and /resumable/ and a route /extra-N/ for each version N up to this one. Returns the version.
   std::uint64_t write_configuration();
 
   fakes::fake_store& store() { return store_; }
   std::map<std::string, std::unique_ptr<gateway_process>>& daemons() { return daemons_; }
   std::map<std::string, proxied_endpoint>& endpoints() { return endpoints_; }
-  // Those that left or crashed too.
+  // All endpoints, including those that have left or crashed.
   [[nodiscard]] std::vector<const counting_endpoint*> all_endpoints() const;
-  // Takes the endpoint out of those that faults are made at; it goes on until it is closed.
+  // Removes the endpoint from endpoints(), so that no fault is injected into it any more. It runs
+  // until it is closed.
   counting_endpoint& retire(const std::string& id);
-  // Ends the endpoint's process: its connections are reset and new ones refused. Its entry in the
-  // store stays.
+  // Simulates a crash of the endpoint: its connections are reset and new ones refused. Its entry in
+  // the store remains.
   void crash(const std::string& id);
 
  private:
--- a/test/gateway_system/gateway_process_test.cc
+++ b/test/gateway_system/gateway_process_test.cc
@@ -1,4 +1,4 @@
-// The gateway daemon as a process of its own: what its output, signals and exit code promise.
+// The gateway daemon as a separate process: its output, signals and exit code.
 
 #include <fcntl.h>
 #include <unistd.h>
@@ -20,10 +20,10 @@
 
 using namespace std::chrono_literals;
 
-// Standard output of processes that are started meanwhile is a pipe that nobody reads.
-class unread_output {
+// A full pipe that nobody reads, to be used as the standard output of a process.
+class blocked_output {
  public:
-  unread_output()
+  blocked_output()
   {
     EXPECT_EQ(pipe(ends_.data()), 0);
     fcntl(ends_[1], F_SETFL, O_NONBLOCK);
@@ -32,15 +32,15 @@
     }
     fcntl(ends_[1], F_SETFL, 0);
   }
-  ~unread_output()
+  ~blocked_output()
   {
     close(ends_[0]);
     close(ends_[1]);
   }
-  unread_output(const unread_output&) = delete;
-  unread_output& operator=(const unread_output&) = delete;
+  blocked_output(const blocked_output&) = delete;
+  blocked_output& operator=(const blocked_output&) = delete;
 
-  // As a file that a process can be started with.
+  // The path under which another process can open the pipe.
   [[nodiscard]] std::string path() const
   {
     return "/proc/" + std::to_string(getpid()) + "/fd/" + std::to_string(ends_[1]);
@@ -64,7 +64,7 @@
     }
   }
 
-  // 0 if there is no answer.
+  // Returns the status of the answer; 0 if there is none.
   int status_of(const http::socket_address& to, const http::request& message)
   {
     try {
@@ -84,8 +84,8 @@
                                                    {"Deadline-Ms", "3000"}}});
   }
 
-  // Whether the daemon has ended with 0 after SIGTERM.
-  bool ends()
+  // Sends SIGTERM and returns whether the daemon then exits with status 0.
+  bool ends_cleanly_on_sigterm()
   {
     daemon_->running->signal(SIGTERM);
     const auto deadline = std::chrono::steady_clock::now() + 60s;
@@ -103,28 +103,28 @@
   int last_ = 0;
 };
 
-TEST_F(GatewayProcessTest, ServesAndEndsWithZeroAfterASignal)
+TEST_F(GatewayProcessTest, ServesCallsAndExitsWithZeroAfterSigterm)
 {
   start();
   EXPECT_EQ(call("/safe/1"), 200);
-  EXPECT_TRUE(ends());
+  EXPECT_TRUE(ends_cleanly_on_sigterm());
 }
 
 TEST_F(GatewayProcessTest, AnswersEveryRequestWhileNobodyReadsItsLog)
 {
-  const unread_output output;
+  const blocked_output output;
   start(output.path());
-  // More lines than the ring holds.
+  // This makes more lines than the log's ring buffer holds.
   for (int i = 0; i < 5'000; ++i) {
     ASSERT_EQ(call("/safe/1"), 200) << i;
   }
 }
 
-TEST_F(GatewayProcessTest, EndsWithZeroWhileNobodyReadsItsLog)
+TEST_F(GatewayProcessTest, ExitsWithZeroWhileNobodyReadsItsLog)
 {
-  const unread_output output;
+  const blocked_output output;
   start(output.path());
-  EXPECT_TRUE(ends());
+  EXPECT_TRUE(ends_cleanly_on_sigterm());
 }
 
 } // namespace
--- a/test/gateway_system/gateway_soak_main.cc
+++ b/test/gateway_system/gateway_soak_main.cc
@@ -1,9 +1,10 @@
-// Runs a fleet of gateway daemons under random faults and compares what callers got with what
-// endpoints ran.
+// Runs a fleet of gateway daemons under random faults and compares the answers that callers
+// received with the requests that endpoints ran.
 //
 //   gateway_soak --minutes=2 --seed=7
 //
-// Ends with 1 if a promise was broken. Clocks are not stepped: that needs rights over the machine.
+// Exits with status 1 if a guarantee was violated. Clock steps are not among the faults, because
+// they need privileges on the machine.
 
 #include <algorithm>
 #include <array>
@@ -36,19 +37,19 @@
 constexpr int endpoints_at_start = 5;
 constexpr int callers = 24;
 constexpr milliseconds start_time{3'000};
-// A harm is felt so long after its end: a daemon has to hear of its peers again, and calls that
-// met it last so long.
-constexpr milliseconds aftermath{4'000};
-constexpr milliseconds longest_harm{3'000};
-// Daemons must serve again this long after the last harm.
+// The effects of a fault last this much longer than the fault: a daemon needs new reports from its
+// peers, and calls that were affected run until their deadline.
+constexpr milliseconds fault_aftermath{4'000};
+constexpr milliseconds max_fault_duration{3'000};
+// Daemons must serve calls again within this time after the last fault.
 constexpr milliseconds recovery_time{15'000};
-constexpr milliseconds time_to_leave{4'500};
-// Until an endpoint that has named a rate takes any number of requests again.
-constexpr milliseconds time_limited{9'000};
-// After a harm a daemon reads the store, or hears from a peer, within this.
-constexpr milliseconds time_to_hear{1'500};
-constexpr milliseconds look_period{50};
-constexpr std::size_t tail_told = 500; // bytes of a log
+constexpr milliseconds leave_duration{4'500};
+// Time until an endpoint that has announced a rate limit removes it.
+constexpr milliseconds rate_limit_duration{9'000};
+// After a fault has ended, a daemon reads the store or receives a peer's report within this time.
+constexpr milliseconds update_delay{1'500};
+constexpr milliseconds poll_period{50};
+constexpr std::size_t log_tail_bytes = 500; // shown of a failed daemon's log
 
 class soak {
  public:
@@ -67,34 +68,34 @@
   {
     co_await sleep(start_time);
     for (int i = 0; i < callers; ++i) {
-      asio::co_spawn(context_, calls_.call_until_stopped(), asio::detached);
+      asio::co_spawn(context_, calls_.send_calls_until_stopped(), asio::detached);
     }
     asio::co_spawn(context_, calls_.watch_configuration(), asio::detached);
-    asio::co_spawn(context_, calls_.call_deadly_until_stopped(), asio::detached);
+    asio::co_spawn(context_, calls_.send_crash_requests_until_stopped(), asio::detached);
     const auto end = steady_clock::now() + time;
     while (steady_clock::now() < end) {
-      make_fault();
+      inject_random_fault();
       co_await sleep(milliseconds(100 + random_() % 900));
     }
-    while (harms_ > 0) {
-      co_await sleep(look_period);
+    while (active_faults_ > 0) {
+      co_await sleep(poll_period);
     }
     co_await check_recovery();
     calls_.stop();
     while (calls_.active() > 0) {
-      co_await sleep(look_period);
+      co_await sleep(poll_period);
     }
   }
 
-  soak_result conclude() { return calls_.conclude(); }
+  soak_result check_results() { return calls_.check_results(); }
 
  private:
-  using harm = std::function<asio::awaitable<void>(soak&)>;
+  using fault_action = std::function<asio::awaitable<void>(soak&)>;
 
   struct fault_kind {
     const char* name;
-    harm make;
-    double weight; // how often against the others
+    fault_action inject;
+    double weight; // relative frequency
   };
 
   asio::awaitable<void> sleep(milliseconds time)
@@ -103,24 +104,28 @@
     co_await timer.async_wait(asio::use_awaitable);
   }
 
-  milliseconds draw_time() { return milliseconds(200 + random_() % (longest_harm.count() - 200)); }
+  milliseconds random_fault_duration()
+  {
+    return milliseconds(200 + random_() % (max_fault_duration.count() - 200));
+  }
 
-  void make_fault()
+  void inject_random_fault()
   {
-    // What keeps daemons from hearing of the endpoints is rare enough to leave calm times between,
-    // in which an endpoint's notice must be kept.
+    // Faults that keep daemons from learning of changes of the endpoints are rare, so that there
+    // are undisturbed times between them, in which the endpoint notice is checked.
     static const std::vector<fault_kind> kinds = {
         {"kill a daemon", &soak::kill_daemon, 2},
         {"terminate a daemon", &soak::terminate_daemon, 3},
         {"pause a daemon", &soak::pause_daemon, 1},
-        {"an endpoint leaves", &soak::let_endpoint_leave, 4},
-        {"an endpoint only says that it leaves", &soak::let_endpoint_say_that_it_leaves, 2},
-        {"an endpoint names a rate", &soak::let_endpoint_name_rate, 3},
+        {"an endpoint leaves", &soak::drain_endpoint, 4},
+        {"an endpoint announces only in its answers that it leaves",
+         &soak::announce_endpoint_leaving, 2},
+        {"an endpoint announces a rate limit", &soak::limit_endpoint_rate, 3},
         {"an endpoint crashes", &soak::crash_endpoint, 2},
-        {"an endpoint misbehaves", &soak::let_endpoint_misbehave, 4},
-        {"the way to an endpoint is harmed", &soak::harm_way_to_endpoint, 4},
-        {"a way to the store is harmed", &soak::harm_way_to_store, 1},
-        {"the store is away", &soak::take_store_away, 1},
+        {"an endpoint misbehaves", &soak::make_endpoint_misbehave, 4},
+        {"network fault at an endpoint", &soak::disrupt_endpoint_connections, 4},
+        {"network fault between a daemon and the store", &soak::disrupt_store_connections, 1},
+        {"the store is unavailable", &soak::make_store_unavailable, 1},
         {"a new configuration", &soak::change_configuration, 2}};
     std::vector<double> weights;
     weights.reserve(kinds.size());
@@ -129,226 +134,227 @@
     }
     std::discrete_distribution<std::size_t> drawn(weights.begin(), weights.end());
     const auto& kind = kinds.at(drawn(random_));
-    tell(kind.name);
-    asio::co_spawn(context_, carry_out(kind.make), asio::detached);
+    log_event(kind.name);
+    asio::co_spawn(context_, run_fault(kind.inject), asio::detached);
   }
 
-  asio::awaitable<void> carry_out(harm make)
+  asio::awaitable<void> run_fault(fault_action inject)
   {
-    ++harms_;
-    co_await make(*this);
-    --harms_;
+    ++active_faults_;
+    co_await inject(*this);
+    --active_faults_;
   }
 
-  void tell(const std::string& what)
+  void log_event(const std::string& what)
   {
     const auto since = std::chrono::duration_cast<milliseconds>(steady_clock::now() - start_);
     std::cout << since.count() << " ms: " << what << std::endl;
   }
 
-  // One that runs and was not told to end; null if it is the last one.
-  gateway_process* draw_daemon()
+  // Returns a random daemon that runs and has received no SIGTERM; null if only one is left.
+  gateway_process* random_daemon()
   {
     std::vector<gateway_process*> running;
     for (const auto& [id, d] : fleet_.daemons()) {
-      if (!d->gone && !d->told_to_end_at) {
+      if (!d->has_ended && !d->sigterm_at) {
         running.push_back(d.get());
       }
     }
     return running.size() < 2 ? nullptr : running.at(random_() % running.size());
   }
 
-  std::string draw_endpoint()
+  std::string random_endpoint()
   {
     auto it = fleet_.endpoints().begin();
     std::advance(it, static_cast<std::ptrdiff_t>(random_() % fleet_.endpoints().size()));
     return it->first;
   }
 
-  // The daemon is kept from hearing of the fleet for `time`.
+  // Records that the daemon gets no updates about the fleet for `time`.
   void disturb(gateway_process& d, milliseconds time)
   {
     const auto end = steady_clock::now() + time;
-    d.disturbed_until = std::max(d.disturbed_until, end + aftermath);
-    hearing_harmed_until_ = std::max(hearing_harmed_until_, end);
+    d.disturbed_until = std::max(d.disturbed_until, end + fault_aftermath);
+    updates_disturbed_until_ = std::max(updates_disturbed_until_, end);
   }
 
   asio::awaitable<void> kill_daemon()
   {
-    auto* d = draw_daemon();
+    auto* d = random_daemon();
     if (d == nullptr) {
       co_return;
     }
     d->disturbed_until = mono_time::max();
-    d->gone = true;
+    d->has_ended = true;
     d->running->kill();
-    co_await sleep(draw_time());
+    co_await sleep(random_fault_duration());
     fleet_.start_daemon();
   }
 
   asio::awaitable<void> terminate_daemon()
   {
-    auto* d = draw_daemon();
+    auto* d = random_daemon();
     if (d == nullptr) {
       co_return;
     }
-    d->told_to_end_at = steady_clock::now();
+    d->sigterm_at = steady_clock::now();
     d->running->signal(SIGTERM);
     fleet_.start_daemon();
-    // A pause puts the end off, but the platform would kill the process all the same.
-    const auto limit = *d->told_to_end_at + gateway_fleet::drain_grace;
+    // A pause (SIGSTOP) may delay the exit, although the platform would kill the process even then.
+    const auto limit = *d->sigterm_at + gateway_fleet::drain_grace;
     while (!d->running->ended()) {
-      if (limit < steady_clock::now() && d->is_calm_since(*d->told_to_end_at)) {
-        calls_.fail(d->id + " has not ended within its grace");
+      if (limit < steady_clock::now() && d->is_undisturbed_since(*d->sigterm_at)) {
+        calls_.add_violation(d->id + " has not exited within its drain grace period");
         d->running->kill();
         break;
       }
-      co_await sleep(look_period);
+      co_await sleep(poll_period);
     }
-    // One that has written nothing was told so before it could handle signals: it has accepted
-    // nothing either.
-    const auto told = d->running->output();
-    if (!d->running->ended().value_or(false) && !told.empty()) {
-      calls_.fail(d->id + " did not end with 0: " +
-                  told.substr(told.size() - std::min(told.size(), tail_told)));
+    // A daemon without output received the signal before its handlers were installed; it has
+    // accepted no calls then.
+    const auto output = d->running->output();
+    if (!d->running->ended().value_or(false) && !output.empty()) {
+      calls_.add_violation(d->id + " did not exit with status 0: " +
+                           output.substr(output.size() - std::min(output.size(), log_tail_bytes)));
     }
-    d->gone = true;
+    d->has_ended = true;
   }
 
   asio::awaitable<void> pause_daemon()
   {
-    auto* d = draw_daemon();
+    auto* d = random_daemon();
     if (d == nullptr) {
       co_return;
     }
-    const auto time = draw_time();
+    const auto time = random_fault_duration();
     disturb(*d, time);
-    d->was_stopped = true;
+    d->was_suspended = true;
     d->running->signal(SIGSTOP);
     co_await sleep(time);
     d->running->signal(SIGCONT);
   }
 
-  asio::awaitable<void> let_endpoint_leave()
+  asio::awaitable<void> drain_endpoint()
   {
-    const auto id = draw_endpoint();
+    const auto id = random_endpoint();
     add_endpoint();
     fleet_.write_endpoint(fleet_.endpoints().at(id), "draining");
-    const auto told_at = steady_clock::now();
+    const auto announced_at = steady_clock::now();
     auto& leaving = fleet_.retire(id);
-    co_await sleep(time_to_leave);
-    if (leaving.received_after(told_at + gateway_fleet::endpoint_notice) > 0 &&
-        hearing_harmed_until_ + time_to_hear < told_at) {
-      calls_.fail(id + " got requests after its notice");
+    co_await sleep(leave_duration);
+    if (leaving.received_after(announced_at + gateway_fleet::endpoint_notice) > 0 &&
+        updates_disturbed_until_ + update_delay < announced_at) {
+      calls_.add_violation(id + " received requests after its notice period");
     }
     fleet_.store().erase("servers", id);
     leaving.close();
   }
 
-  // The store goes on saying that it serves.
-  asio::awaitable<void> let_endpoint_say_that_it_leaves()
+  // Only its answers say that the endpoint leaves; the store still lists it as serving.
+  asio::awaitable<void> announce_endpoint_leaving()
   {
-    const auto id = draw_endpoint();
+    const auto id = random_endpoint();
     add_endpoint();
     auto& leaving = fleet_.retire(id);
-    leaving.say_leaving();
-    co_await sleep(time_to_leave);
+    leaving.announce_leaving();
+    co_await sleep(leave_duration);
     fleet_.store().erase("servers", id);
     leaving.close();
   }
 
-  asio::awaitable<void> let_endpoint_name_rate()
+  asio::awaitable<void> limit_endpoint_rate()
   {
     constexpr std::array<double, 3> rates = {0.5, 2, 5};
-    const auto id = draw_endpoint();
-    fleet_.endpoints().at(id).endpoint->name_rate(rates.at(random_() % rates.size()));
-    co_await sleep(time_limited);
+    const auto id = random_endpoint();
+    fleet_.endpoints().at(id).endpoint->announce_rate_limit(rates.at(random_() % rates.size()));
+    co_await sleep(rate_limit_duration);
     if (const auto it = fleet_.endpoints().find(id); it != fleet_.endpoints().end()) {
-      it->second.endpoint->name_rate(0);
+      it->second.endpoint->announce_rate_limit(0);
     }
   }
 
-  asio::awaitable<void> crash_endpoint() { co_await replace_crashed(draw_endpoint()); }
+  asio::awaitable<void> crash_endpoint() { co_await replace_crashed(random_endpoint()); }
 
   asio::awaitable<void> replace_crashed(std::string id)
   {
     fleet_.crash(id);
     add_endpoint();
-    co_await sleep(draw_time());
+    co_await sleep(random_fault_duration());
     fleet_.store().erase("servers", id);
   }
 
-  // Adds an endpoint that ends, and is replaced, under the request that is meant for it.
+  // Adds an endpoint that crashes, and is replaced, when it runs a request to `crash_path`.
   void add_endpoint()
   {
     auto& endpoint = *fleet_.add_endpoint().endpoint;
-    endpoint.on_deadly = [this, id = endpoint.id()] {
+    endpoint.on_crash_request = [this, id = endpoint.id()] {
       if (fleet_.endpoints().contains(id)) {
-        tell(id + " ends under a request");
+        log_event(id + " crashes on a request");
         asio::co_spawn(context_, replace_crashed(id), asio::detached);
       }
     };
   }
 
-  asio::awaitable<void> let_endpoint_misbehave()
+  asio::awaitable<void> make_endpoint_misbehave()
   {
     constexpr std::array<misbehaviour, 6> kinds = {misbehaviour::sheds,  misbehaviour::pauses,
                                                    misbehaviour::fails,  misbehaviour::cuts,
                                                    misbehaviour::stalls, misbehaviour::is_slow};
-    const auto id = draw_endpoint();
+    const auto id = random_endpoint();
     fleet_.endpoints().at(id).endpoint->misbehave(kinds.at(random_() % kinds.size()));
-    co_await sleep(draw_time());
+    co_await sleep(random_fault_duration());
     if (const auto it = fleet_.endpoints().find(id); it != fleet_.endpoints().end()) {
       it->second.endpoint->misbehave(misbehaviour::none);
     }
   }
 
-  asio::awaitable<void> harm_way_to_endpoint()
+  asio::awaitable<void> disrupt_endpoint_connections()
   {
-    const auto id = draw_endpoint();
-    const auto time = draw_time();
+    const auto id = random_endpoint();
+    const auto time = random_fault_duration();
     const auto now = steady_clock::now();
-    fleet_.endpoints().at(id).endpoint->note_harm(now, now + time);
-    std::function<fault_proxy*()> find = [this, id]() -> fault_proxy* {
+    fleet_.endpoints().at(id).endpoint->add_network_fault(now, now + time);
+    std::function<fault_proxy*()> find_proxy = [this, id]() -> fault_proxy* {
       const auto it = fleet_.endpoints().find(id);
-      return it == fleet_.endpoints().end() ? nullptr : it->second.way.get();
+      return it == fleet_.endpoints().end() ? nullptr : it->second.proxy.get();
     };
-    co_await harm_way(std::move(find), time);
+    co_await apply_network_fault(std::move(find_proxy), time);
   }
 
-  asio::awaitable<void> harm_way_to_store()
+  asio::awaitable<void> disrupt_store_connections()
   {
-    auto* d = draw_daemon();
+    auto* d = random_daemon();
     if (d == nullptr) {
       co_return;
     }
-    const auto time = draw_time();
+    const auto time = random_fault_duration();
     disturb(*d, time);
-    std::function<fault_proxy*()> find = [d] { return d->way_to_store.get(); };
-    co_await harm_way(std::move(find), time);
+    std::function<fault_proxy*()> find_proxy = [d] { return d->store_proxy.get(); };
+    co_await apply_network_fault(std::move(find_proxy), time);
   }
 
-  // Harms a way for `time`. `find` returns null once there is none any more.
-  asio::awaitable<void> harm_way(std::function<fault_proxy*()> find, milliseconds time)
+  // Injects a random fault for `time`. `find_proxy` returns null when the proxy no longer exists.
+  asio::awaitable<void> apply_network_fault(std::function<fault_proxy*()> find_proxy,
+                                            milliseconds time)
   {
     constexpr std::array<network_fault, 4> kinds = {network_fault::none, network_fault::delayed,
                                                     network_fault::silent,
                                                     network_fault::answers_lost};
     const auto kind = kinds.at(random_() % kinds.size());
     if (kind == network_fault::none) {
-      find()->reset_connections();
+      find_proxy()->reset_connections();
       co_return;
     }
-    find()->set(kind);
+    find_proxy()->set(kind);
     co_await sleep(time);
-    if (auto* way = find()) {
-      way->set(network_fault::none);
+    if (auto* proxy = find_proxy()) {
+      proxy->set(network_fault::none);
     }
   }
 
-  asio::awaitable<void> take_store_away()
+  asio::awaitable<void> make_store_unavailable()
   {
-    const auto time = draw_time();
+    const auto time = random_fault_duration();
     for (const auto& [id, d] : fleet_.daemons()) {
       disturb(*d, time);
     }
@@ -369,12 +375,12 @@
   {
     const auto limit = steady_clock::now() + recovery_time;
     for (const auto& [id, d] : fleet_.daemons()) {
-      bool serves = d->gone || d->told_to_end_at;
+      bool serves = d->has_ended || d->sigterm_at;
       while (!serves && steady_clock::now() < limit) {
         serves = co_await calls_.serves(*d);
       }
       if (!serves) {
-        calls_.fail(id + " does not serve after the faults have ended");
+        calls_.add_violation(id + " does not serve after the faults have ended");
       }
     }
   }
@@ -384,8 +390,8 @@
   gateway_fleet fleet_;
   soak_calls calls_;
   mono_time start_ = steady_clock::now();
-  mono_time hearing_harmed_until_; // of any daemon
-  int harms_ = 0;                  // under way
+  mono_time updates_disturbed_until_; // the latest end of a disturb() of any daemon
+  int active_faults_ = 0;
   int store_outages_ = 0;
 };
 
@@ -394,11 +400,11 @@
   for (const auto& [outcome, n] : result.outcomes) {
     std::cout << outcome << ": " << n << "\n";
   }
-  for (const auto& what : result.broken) {
+  for (const auto& what : result.violations) {
     std::cout << "BROKEN: " << what << "\n";
   }
-  std::cout << "broken promises: " << result.broken.size() << std::endl;
-  return result.broken.empty();
+  std::cout << "broken promises: " << result.violations.size() << std::endl;
+  return result.violations.empty();
 }
 
 } // namespace
@@ -423,7 +429,7 @@
     if (failure) {
       std::rethrow_exception(failure);
     }
-    return print(running.conclude()) ? EXIT_SUCCESS : EXIT_FAILURE;
+    return print(running.check_results()) ? EXIT_SUCCESS : EXIT_FAILURE;
   } catch (const std::exception& e) {
     std::cerr << "gateway_soak: " << e.what() << "\n";
     return EXIT_FAILURE;
--- a/test/gateway_system/soak_calls.h
+++ b/test/gateway_system/soak_calls.h
@@ -1,4 +1,10 @@
-// Callers of a fleet under faults, and what their answers and the endpoints' runs must agree on.
+// Callers of a fleet under faults, and the checks that their answers agree with the requests that
+// the endpoints ran.
+//
+//   soak_calls calls(context, fleet, seed);
+//   co_spawn(context, calls.send_calls_until_stopped(), detached);
+//   calls.stop(); // wait until active() is 0
+//   const auto result = calls.check_results();
 
 #ifndef WISTERIAFLOW_TEST_GATEWAY_SYSTEM_SOAK_CALLS_H_
 #define WISTERIAFLOW_TEST_GATEWAY_SYSTEM_SOAK_CALLS_H_
@@ -18,28 +24,28 @@
 
 namespace wisteriaflow::gateway_system_tests {
 
-// How many calls ended how, and every promise that was broken.
+// The number of calls by outcome, and all violations found.
 struct soak_result {
   std::map<std::string, std::uint64_t> outcomes;
-  std::vector<std::string> broken;
+  std::vector<std::string> violations;
 };
 
-// What a caller saw of one call.
-struct seen_call {
+// One call as its caller observed it.
+struct observed_call {
   std::string id;
   std::string route; // safe, unsafe, stream or resumable
   std::string daemon;
   mono_time started_at;
   std::string body = {};              // of the request
-  http::response answer{.status = 0}; // 0: no head came
-  bool whole = false;                 // the answer ended properly
+  http::response answer{.status = 0}; // status 0: no response head was received
+  bool is_complete = false;           // the complete answer was received
 };
 
-// A call of the request that ends endpoints.
-struct deadly_call {
+// A call with the request that crashes endpoints.
+struct crash_call {
   std::string id;
   mono_time sent_at;
-  // Its daemon and the store had been undisturbed for as long as news may take.
+  // Whether its daemon was undisturbed for at least the time that crash records take to propagate.
   bool by_informed_daemon = false;
 };
 
@@ -51,14 +57,14 @@
   {
   }
 
-  // One caller that calls, one request after the other, until stop().
-  boost::asio::awaitable<void> call_until_stopped();
+  // Runs a caller that sends one request after the other, until stop().
+  boost::asio::awaitable<void> send_calls_until_stopped();
 
-  // One caller that sends the request that ends endpoints again and again, until stop().
-  boost::asio::awaitable<void> call_deadly_until_stopped();
+  // Runs a caller that sends the request that crashes endpoints again and again, until stop().
+  boost::asio::awaitable<void> send_crash_requests_until_stopped();
 
-  // Asks daemons for routes of configurations, until stop(): one that served a route knows it ever
-  // after.
+  // Requests routes of past and present configurations until stop(): a daemon that has served a
+  // route once must not forget it.
   boost::asio::awaitable<void> watch_configuration();
 
   void stop() { stopped_ = true; }
@@ -66,28 +72,28 @@
 
   void note_configuration(std::uint64_t version) { newest_version_ = version; }
 
-  // Adds a broken promise, with the time.
-  void fail(const std::string& what);
+  // Adds a violation.
+  void add_violation(const std::string& what);
 
-  // Whether the daemon answers a repeatable call with success. Calls once.
+  // Makes one repeatable call; returns whether the daemon answers it with 200.
   boost::asio::awaitable<bool> serves(const gateway_process& d);
 
-  // Compares what callers saw with what endpoints ran.
-  soak_result conclude();
+  // Compares the observed calls with the requests that endpoints ran.
+  soak_result check_results();
 
  private:
-  boost::asio::awaitable<void> call_once(const gateway_process& d, seen_call& call,
+  boost::asio::awaitable<void> call_once(const gateway_process& d, observed_call& call,
                                          const std::string& path);
-  // One that callers may use; null if there is none.
-  const gateway_process* draw_daemon();
-  void judge(const seen_call& call);
-  void judge_answer(const seen_call& call);
-  void judge_missing(const seen_call& call);
-  void judge_runs(const seen_call& call);
-  // Whether the request that ends endpoints was held, and no other refused for it.
-  void judge_holds();
-  // Whether daemons kept to what endpoints had said of themselves.
-  void judge_all_terms();
+  // A random daemon that callers may use; null if there is none.
+  const gateway_process* random_daemon();
+  void record_outcome(const observed_call& call);
+  void check_answer(const observed_call& call);
+  void check_missing_answer(const observed_call& call);
+  void check_runs(const observed_call& call);
+  // Checks that the content that crashes endpoints was held back, and no other content refused.
+  void check_content_holds();
+  // Checks that daemons obeyed the terms that endpoints had announced.
+  void check_all_terms();
   [[nodiscard]] int runs_of(const std::string& id) const;
 
   boost::asio::io_context& context_;
@@ -98,10 +104,10 @@
   int active_ = 0;
   std::uint64_t last_call_ = 0;
   std::uint64_t newest_version_ = 1;
-  std::vector<seen_call> calls_;
-  std::vector<deadly_call> deadly_calls_;
-  std::size_t refused_for_content_ = 0;                   // calls that end no endpoint
-  std::set<std::pair<std::string, std::uint64_t>> known_; // daemon and version
+  std::vector<observed_call> calls_;
+  std::vector<crash_call> crash_calls_;
+  std::size_t refused_for_content_ = 0;                            // calls with other content
+  std::set<std::pair<std::string, std::uint64_t>> known_versions_; // daemon id and version
   soak_result result_;
 };
 
--- a/test/gateway_system/soak_terms.h
+++ b/test/gateway_system/soak_terms.h
@@ -1,5 +1,5 @@
-// Whether daemons kept to what an endpoint said of itself in its answers: the rate that it takes
-// from all of them, that it leaves, and the pauses that it asked for.
+// Checks that daemons obeyed what an endpoint announced in its answers: its rate limit, that it
+// leaves, and the pauses that it requested.
 
 #ifndef WISTERIAFLOW_TEST_GATEWAY_SYSTEM_SOAK_TERMS_H_
 #define WISTERIAFLOW_TEST_GATEWAY_SYSTEM_SOAK_TERMS_H_
@@ -13,17 +13,17 @@
 
 namespace wisteriaflow::gateway_system_tests {
 
-// By which daemon a request came, and when its caller sent it.
+// The daemon that sent a request, and when its caller sent it to the daemon.
 struct request_sender {
   std::string daemon;
   mono_time sent_at;
 };
 
-// By the id of the request. Daemons that were stopped for a while are not in it.
+// By request id. Requests to daemons that were suspended for a while are not included.
 using request_senders = std::map<std::string, request_sender>;
 
-// The promises broken at `endpoint`.
-[[nodiscard]] std::vector<std::string> judge_terms(const counting_endpoint& endpoint,
+// Returns a description of each violation at `endpoint`.
+[[nodiscard]] std::vector<std::string> check_terms(const counting_endpoint& endpoint,
                                                    const request_senders& senders);
 
 } // namespace wisteriaflow::gateway_system_tests
--- a/test/relay/exchange_replay_test.cc
+++ b/test/relay/exchange_replay_test.cc
@@ -1,5 +1,5 @@
-// Replays the exchange of reports in a fleet of hundreds: the daemons' real state and rounds, on
-// one list of events, without sockets.
+// Simulates the exchange of reports in a fleet of hundreds (195) of daemons with their real state
+// and exchange rounds, on a simulated clock and without sockets.
 
 #include "relay/replayed_fleet.h"
 
@@ -7,31 +7,31 @@
 namespace {
 
 const endpoint_id endpoint("e");
-constexpr std::size_t pairs = std::size_t{195} * 194; // of daemons
+constexpr std::size_t pairs = std::size_t{195} * 194; // ordered pairs of daemons
 
-using ExchangeReplayTest = replayed_fleet;
+using ExchangeReplayTest = simulated_fleet;
 
 TEST_F(ExchangeReplayTest, EachOf195DaemonsKnowsNearlyAllWithinFourSecondsOfTheirStart)
 {
   start_fleet(195);
   run_for(4s);
-  EXPECT_LE(taken_for_silent(), pairs / 50);
+  EXPECT_LE(falsely_silent_pairs(), pairs / 50);
   run_for(5s);
-  EXPECT_EQ(taken_for_silent(), 0U);
+  EXPECT_EQ(falsely_silent_pairs(), 0U);
 }
 
-TEST_F(ExchangeReplayTest, NoLiveDaemonOf195IsTakenForSilentThoughExchangesFail)
+TEST_F(ExchangeReplayTest, NoLiveDaemonOf195IsConsideredSilentWhenExchangesFail)
 {
   start_fleet(195);
   run_for(9s);
-  loss_ = 0.05;
+  loss_rate_ = 0.05;
   for (int i = 0; i < 10; ++i) {
     run_for(300ms);
-    EXPECT_EQ(taken_for_silent(), 0U) << i;
+    EXPECT_EQ(falsely_silent_pairs(), 0U) << i;
   }
 }
 
-TEST_F(ExchangeReplayTest, ADaemonOf195HearsFewReports)
+TEST_F(ExchangeReplayTest, ADaemonOf195ReceivesFewReports)
 {
   constexpr int seconds = 4;
   start_fleet(195);
@@ -48,7 +48,7 @@
   EXPECT_LE(received, 20 * seconds * 195) << before;
 }
 
-TEST_F(ExchangeReplayTest, WorkOfAllDaemonsCountsAtEach)
+TEST_F(ExchangeReplayTest, EveryDaemonCountsTheWorkOfAllDaemons)
 {
   start_fleet(195);
   for (const auto& d : daemons_) {
@@ -63,16 +63,16 @@
                                                 now_));
   }
   run_for(9s);
-  std::size_t known = 0;
+  std::size_t total = 0;
   for (const auto& d : daemons_) {
-    const auto there = d->state.endpoints.peers().total_at(endpoint).waiting;
-    EXPECT_GE(there, 160U);
-    known += there;
+    const auto waiting = d->state.endpoints.peers().total_at(endpoint).waiting;
+    EXPECT_GE(waiting, 160U);
+    total += waiting;
   }
-  EXPECT_GE(known, pairs * 98 / 100);
+  EXPECT_GE(total, pairs * 98 / 100);
 }
 
-TEST_F(ExchangeReplayTest, ADeadDaemonOf195IsSilentForAllWithinThreeSeconds)
+TEST_F(ExchangeReplayTest, ACrashedDaemonOf195IsConsideredSilentByAllWithinThreeSeconds)
 {
   start_fleet(195);
   run_for(5s);
@@ -83,29 +83,29 @@
   }
 }
 
-TEST_F(ExchangeReplayTest, All195DaemonsHoldAContentThreeSecondsAfterTheThirdEndUnderIt)
+TEST_F(ExchangeReplayTest, All195DaemonsHoldAContentThreeSecondsAfterItsThirdCrash)
 {
   start_fleet(195);
   run_for(9s);
-  loss_ = 0.05;
+  loss_rate_ = 0.05;
   for (const int n : {1, 2, 3}) {
-    end_endpoint(*daemons_.at(static_cast<std::size_t>(n) * 50), n);
+    crash_endpoint(*daemons_.at(static_cast<std::size_t>(n) * 50), n);
   }
   run_for(3s);
-  EXPECT_EQ(holders(), 195U);
+  EXPECT_EQ(daemons_holding_content(), 195U);
 }
 
-TEST_F(ExchangeReplayTest, TheHolderOfTheDutiesHearsAllDaemonsWithinFourSeconds)
+TEST_F(ExchangeReplayTest, TheLeaderReceivesReportsOfAllDaemonsWithinFourSeconds)
 {
   start_fleet(195);
   run_for(1s);
-  auto& holder = *daemons_[7];
-  holder.state.set_acting(true); // it took them when few were known
+  auto& leader = *daemons_[7];
+  leader.state.set_leader(true); // it took the lease when few daemons were known
   run_for(8s);
   for (int i = 0; i < 3; ++i) {
     const auto window_end = now_;
     run_for(4s);
-    EXPECT_TRUE(holder.state.peers.all_reported_since(window_end, now_)) << i;
+    EXPECT_TRUE(leader.state.peers.all_reported_since(window_end, now_)) << i;
   }
 }
 
--- a/test/relay/lease_keeper_test.cc
+++ b/test/relay/lease_keeper_test.cc
@@ -1,9 +1,9 @@
 // The lease of an instance that was suspended.
 //
-// While an instance is suspended its steady clock stands still. A daemon that held the duties and
-// was suspended for longer than its lease went on with them when it woke, as its deadline by that
-// clock had not passed, though another daemon had taken them with a higher fencing number: up to
-// the next renewal, two thirds of a second later, its orders bore the old one.
+// The steady clock stops while an instance is suspended. A leader that was suspended for longer
+// than its lease continued to act when it resumed, because by that clock its deadline had not
+// passed, although another daemon had taken the lease with a higher fencing number. Until the next
+// renewal, two thirds of a second later, its orders had the old fencing number.
 
 #include <chrono>
 
@@ -23,17 +23,17 @@
  protected:
   LeaseKeeperTest()
   {
-    state_.offer_configuration(
+    state_.apply_configuration_if_newer(
         {{"version", 1}, {"routes", boost::json::array()}, {"services", boost::json::array()}},
         "test");
   }
 
-  // Holds the duties from then on.
-  void acquire()
+  // Runs the keeper until it holds the lease.
+  void acquire_lease()
   {
     const auto deadline = std::chrono::steady_clock::now() + 60s;
-    while (!keeper_.may_act()) {
-      ASSERT_LT(std::chrono::steady_clock::now(), deadline) << "the lease is not taken";
+    while (!keeper_.holds_lease()) {
+      ASSERT_LT(std::chrono::steady_clock::now(), deadline) << "the lease was not acquired in time";
       keeper_.tick();
       context_.restart();
       context_.run_for(10ms);
@@ -54,38 +54,39 @@
   store_client client_{context_, state_};
   lease_keeper keeper_{context_, state_, client_, [this] {
                          auto uptime = read_uptime();
-                         // By themselves the two readings lie some time apart.
+                         // The real readings differ by themselves; here they differ by
+                         // suspended_ alone.
                          uptime.since_boot = uptime.running.time_since_epoch() + suspended_;
                          return uptime;
                        }};
 };
 
-TEST_F(LeaseKeeperTest, HoldsTheDutiesAfterAShortSuspension)
+TEST_F(LeaseKeeperTest, KeepsTheLeaseAfterAShortSuspension)
 {
-  acquire();
+  acquire_lease();
   suspended_ = 200ms;
-  EXPECT_TRUE(keeper_.may_act());
+  EXPECT_TRUE(keeper_.holds_lease());
 }
 
-TEST_F(LeaseKeeperTest, HasLostTheDutiesWhenASuspensionOutlastedTheLease)
+TEST_F(LeaseKeeperTest, HasLostTheLeaseWhenASuspensionOutlastedIt)
 {
-  acquire();
+  acquire_lease();
   suspended_ = 5s;
-  EXPECT_FALSE(keeper_.may_act());
+  EXPECT_FALSE(keeper_.holds_lease());
 }
 
-TEST_F(LeaseKeeperTest, TakesTheDutiesAgainAfterASuspension)
+TEST_F(LeaseKeeperTest, AcquiresTheLeaseAgainAfterASuspension)
 {
-  acquire();
+  acquire_lease();
   const auto before = keeper_.fencing_number();
   suspended_ = 5s;
-  acquire();
+  acquire_lease();
   EXPECT_GT(keeper_.fencing_number(), before);
 }
 
-TEST_F(LeaseKeeperTest, TellsHowLongTheInstanceWasSuspended)
+TEST_F(LeaseKeeperTest, ReportsHowLongTheInstanceWasSuspended)
 {
-  acquire();
+  acquire_lease();
   suspended_ = 5s;
   keeper_.tick();
   EXPECT_NE(state_.counters.exposition().find("suspended_ms_total 5000"), std::string::npos);
--- a/test/relay/rate_limit_replay_test.cc
+++ b/test/relay/rate_limit_replay_test.cc
@@ -25,7 +25,7 @@
 constexpr double tolerated_excess = 1.5;
 constexpr double tolerated_requests = 5;
 
-class RateLimitReplayTest : public replayed_fleet {
+class RateLimitReplayTest : public simulated_fleet {
  protected:
   struct limited_endpoint {
     double rate = 0;
@@ -39,7 +39,7 @@
   void start(std::size_t daemons, std::size_t endpoints)
   {
     start_fleet(daemons);
-    give_endpoints(endpoints, 0);
+    add_endpoints(endpoints, 0);
     run_for(3s);
   }
 
@@ -47,7 +47,7 @@
   void announce_rate(std::size_t number, double rate)
   {
     for (std::size_t n = 0; n < number; ++n) {
-      limited_[replayed_endpoint(n)] = {.rate = rate, .announced_at = now_};
+      limited_[simulated_endpoint(n)] = {.rate = rate, .announced_at = now_};
     }
   }
 
@@ -90,7 +90,7 @@
       answer.terms.request_rate = it->second.rate;
       it->second.told_daemons.try_emplace(n, now_);
     }
-    d.state.take_answer(answer, now_);
+    d.state.apply_answer_terms(answer, now_);
   }
 
   void record_arrival(std::size_t n, const endpoint_id& id)
@@ -208,16 +208,16 @@
     start(6, 9);
     announce_rate(9, 1.0);
     run_with_calls(6s, 45);
-    hear_each_other_ = [side](std::size_t a, std::size_t b) { return (a < side) == (b < side); };
+    are_connected_ = [side](std::size_t a, std::size_t b) { return (a < side) == (b < side); };
     run_with_calls(10s, 45);
-    hear_each_other_ = [](std::size_t, std::size_t) { return true; };
+    are_connected_ = [](std::size_t, std::size_t) { return true; };
     run_with_calls(6s, 45);
   }
 }
 
 TEST_F(RateLimitReplayTest, IsKeptThoughPeerExchangesFail)
 {
-  loss_ = 0.3;
+  loss_rate_ = 0.3;
   start(60, 9);
   announce_rate(9, 2.5);
   run_with_calls(20s, 420);
--- a/test/relay/rollout_process_test.cc
+++ b/test/relay/rollout_process_test.cc
@@ -1,5 +1,5 @@
-// Daemons before a store and endpoints, an order to move their service to another version, and
-// callers meanwhile.
+// Roll-outs with real daemons before a fake store and fake endpoints: an operator orders another
+// version of a service while callers make calls.
 
 #include <algorithm>
 
@@ -12,11 +12,11 @@
 
 class RolloutProcessTest : public gateway_fixture {
  protected:
-  // Two daemons, and two endpoints of each version.
+  // Starts two daemons and the two endpoints of the old version.
   void start()
   {
     customize_settings_ = [this](settings& s) {
-      s.cloud = store_.address(); // nobody there takes orders; the duties are held all the same
+      s.cloud = store_.address(); // it accepts no endpoint orders, but a leader is elected
       s.trial_part = 0.5;
       s.trial_slack = 20;
     };
@@ -33,7 +33,7 @@
         "the second daemon becomes ready");
   }
 
-  void order(int seconds)
+  void order_rollout(int seconds)
   {
     store_.put("rollouts", "chat", {{"service", "chat"}, {"to", "v2"}, {"durationS", seconds}});
     for (const auto* id : {"new-1", "new-2"}) {
@@ -42,28 +42,29 @@
     }
   }
 
-  [[nodiscard]] std::string state() const
+  [[nodiscard]] std::string rollout_state() const
   {
     const auto status = store_.status("rollouts", "chat");
     return status.is_object() ? std::string(status.at("state").as_string()) : "";
   }
 
-  // Calls by turns to both daemons until the order's state is that. Returns those not answered 200.
+  // Calls both daemons in turn until the order has the state `wanted`. Returns the number of calls
+  // with a status other than 200.
   int call_until(const std::string& wanted)
   {
-    int bad = 0;
+    int failures = 0;
     wait_until(
         [&] {
           const auto& to = gateways_[++calls_ % 2]->options.callers;
           const auto status = send(to, request_for("GET", "/safe/1")).status;
-          bad += status == 200 ? 0 : 1;
+          failures += status == 200 ? 0 : 1;
           if (status != 200) {
             statuses_ += " " + std::to_string(status) + " at call " + std::to_string(calls_);
           }
-          return state() == wanted;
+          return rollout_state() == wanted;
         },
         wanted.c_str());
-    return bad;
+    return failures;
   }
 
   [[nodiscard]] std::size_t received(const std::string& id) const
@@ -72,20 +73,20 @@
     return (*std::find_if(endpoints_.begin(), endpoints_.end(), is_it))->received.size();
   }
 
-  void set_mood_of_new(endpoint_mood mood)
+  void set_mood_of_new_endpoints(endpoint_mood mood)
   {
     endpoints_[2]->mood = mood;
     endpoints_[3]->mood = mood;
   }
 
   std::size_t calls_ = 0;
-  std::string statuses_; // of calls not answered 200
+  std::string statuses_; // of calls with a status other than 200
 };
 
-TEST_F(RolloutProcessTest, TrafficGoesOverToAGoodVersion)
+TEST_F(RolloutProcessTest, TrafficMovesToAGoodVersion)
 {
   start();
-  order(8);
+  order_rollout(8);
   EXPECT_EQ(call_until("succeeded"), 0) << statuses_;
   const auto before = received("old-1") + received("old-2");
   for (int i = 0; i < 20; ++i) {
@@ -94,11 +95,11 @@
   EXPECT_EQ(received("old-1") + received("old-2"), before);
 }
 
-TEST_F(RolloutProcessTest, AVersionThatFailsIsRolledBackAndGetsNothingMore)
+TEST_F(RolloutProcessTest, AFailingVersionIsRolledBackAndGetsNoMoreCalls)
 {
   start();
-  order(60);
-  set_mood_of_new(endpoint_mood::fails);
+  order_rollout(60);
+  set_mood_of_new_endpoints(endpoint_mood::fails);
   call_until("rolled_back");
   const auto before = received("new-1") + received("new-2");
   EXPECT_GT(before, 0U);
@@ -108,14 +109,14 @@
   EXPECT_EQ(received("new-1") + received("new-2"), before);
 }
 
-TEST_F(RolloutProcessTest, AnOrderThatCannotBeReadMovesNothing)
+TEST_F(RolloutProcessTest, AnUnreadableOrderMovesNoTraffic)
 {
   start();
   store_.put("rollouts", "chat", {{"service", "chat"}, {"to", "v2"}, {"durationS", -3}});
   for (int i = 0; i < 50; ++i) {
     EXPECT_EQ(call("GET", "/safe/1").status, 200);
   }
-  EXPECT_EQ(state(), "");
+  EXPECT_EQ(rollout_state(), "");
 }
 
 } // namespace
