--- a/include/wisteriaflow/daemon/bounded_ring.h
+++ b/include/wisteriaflow/daemon/bounded_ring.h
@@ -1,9 +1,12 @@
-// A bounded queue that joins two duties' threads.
+// A bounded queue between threads, with many producers and one consumer.
 //
-// Many threads may push, one thread pops. A push never waits: a full ring refuses, and the pusher
-// turns that into a refusal of its own work. A mutex guards it: at the planned few thousand
-// messages a second its cost does not show, and message types need not be trivial as a lock-free
-// ring would ask.
+//   bounded_ring<event> ring(1'024);
+//   if (!ring.try_push(e)) { ... }        // full: the producer refuses its work
+//   for (auto& e : ring.pop_all()) { ... }
+//
+// A push never blocks; it fails if the ring is full. The ring is guarded by a mutex: its cost is
+// negligible at the expected few thousand messages per second, and message types need not be
+// trivially copyable, as a lock-free ring would require.
 
 #ifndef WISTERIAFLOW_DAEMON_BOUNDED_RING_H_
 #define WISTERIAFLOW_DAEMON_BOUNDED_RING_H_
@@ -24,14 +27,14 @@
 // A queue of at most `capacity` messages of type `T`.
 template <typename T> class bounded_ring {
  public:
-  // `wake`, if set, is called after a push to an empty ring; it lets an event loop pop instead of
-  // a thread that waits.
+  // `wake`, if set, is called on the producer's thread after a push to an empty ring, so that an
+  // event loop can pop instead of a waiting thread.
   explicit bounded_ring(std::size_t capacity, std::function<void()> wake = {})
       : buffer_(capacity), wake_(std::move(wake))
   {
   }
 
-  // Appends `message`. Returns false, and leaves the ring as it was, if it is full or closed.
+  // Appends `message`. Returns false and leaves the ring unchanged if it is full or closed.
   bool try_push(T message)
   {
     bool was_empty = false;
@@ -44,7 +47,7 @@
       buffer_.push_back(std::move(message));
     }
     if (was_empty) {
-      ready_.notify_one();
+      not_empty_.notify_one();
       if (wake_) {
         wake_();
       }
@@ -52,30 +55,31 @@
     return true;
   }
 
-  // Moves out all messages that are there, without waiting.
+  // Removes and returns all queued messages without waiting.
   std::vector<T> pop_all()
   {
     const std::scoped_lock lock(mutex_);
-    return take();
+    return pop_all_locked();
   }
 
-  // Moves out all messages; waits for one until `deadline` or close().
+  // Removes and returns all queued messages; if there are none, waits for one until `deadline` or
+  // close().
   std::vector<T> wait_pop_all(mono_time deadline)
   {
     std::unique_lock lock(mutex_);
-    ready_.wait_until(lock, deadline, [this] { return closed_ || !buffer_.empty(); });
-    return take();
+    not_empty_.wait_until(lock, deadline, [this] { return closed_ || !buffer_.empty(); });
+    return pop_all_locked();
   }
 
-  // Refuses further pushes and wakes the waiting thread; what is queued can still be popped.
+  // Makes further pushes fail and wakes the waiting consumer. Queued messages can still be popped.
   void close()
   {
     const std::scoped_lock lock(mutex_);
     closed_ = true;
-    ready_.notify_all();
+    not_empty_.notify_all();
   }
 
-  // Messages that wait to be popped.
+  // The number of queued messages.
   [[nodiscard]] std::size_t size() const
   {
     const std::scoped_lock lock(mutex_);
@@ -89,7 +93,7 @@
   }
 
  private:
-  std::vector<T> take()
+  std::vector<T> pop_all_locked()
   {
     std::vector<T> out;
     out.reserve(buffer_.size());
@@ -101,7 +105,7 @@
   }
 
   mutable std::mutex mutex_;
-  std::condition_variable ready_;
+  std::condition_variable not_empty_;
   boost::circular_buffer_space_optimized<T> buffer_;
   std::function<void()> wake_;
   bool closed_ = false;
--- a/include/wisteriaflow/daemon/daemon.h
+++ b/include/wisteriaflow/daemon/daemon.h
@@ -1,4 +1,4 @@
-// One daemon: the core on a thread of its own, and a thread for each duty around it.
+// The daemon: runs the core on one thread and each I/O component on a thread of its own.
 
 #ifndef WISTERIAFLOW_DAEMON_DAEMON_H_
 #define WISTERIAFLOW_DAEMON_DAEMON_H_
@@ -10,14 +10,14 @@
 
 namespace wisteriaflow::daemon {
 
-// Runs until it is told to drain and has drained.
+// Runs until request_drain() was called and the drain is complete.
 //
 //   daemon d(load_settings(path));
 //   d.run();          // on this thread, until drained
 //   d.request_drain() // from any thread
 class daemon {
  public:
-  // Binds its addresses at once. Throws http::http_error or peer::peer_error if it cannot.
+  // Binds the listening addresses. Throws http::http_error or peer::peer_error if that fails.
   explicit daemon(const settings& s);
   ~daemon();
   daemon(const daemon&) = delete;
@@ -26,10 +26,11 @@
   [[nodiscard]] http::socket_address caller_address() const;
   [[nodiscard]] http::socket_address peer_address() const;
 
-  // Serves; returns once drained.
+  // Serves on the calling thread; returns once drained.
   void run();
 
-  // Takes no new work, finishes or hands over the rest, then lets run() return.
+  // Stops accepting work, finishes or hands over running requests, then lets run() return. Any
+  // thread may call it.
   void request_drain();
 
  private:
--- a/include/wisteriaflow/daemon/endpoint_side.h
+++ b/include/wisteriaflow/daemon/endpoint_side.h
@@ -1,4 +1,4 @@
-// The duty towards endpoints: an HTTP client that runs the core's attempts and load polls.
+// HTTP client for endpoints. Runs the core's attempts and polls load and cache events.
 
 #ifndef WISTERIAFLOW_DAEMON_ENDPOINT_SIDE_H_
 #define WISTERIAFLOW_DAEMON_ENDPOINT_SIDE_H_
@@ -14,11 +14,11 @@
 
 namespace wisteriaflow::daemon {
 
-// Runs exchanges with endpoints. An exchange ends with exactly one of ended and failed, or with
-// nothing after the core cancelled it.
-class endpoint_side {
+// Runs HTTP exchanges with endpoints and reports them to the core. Each exchange ends with exactly
+// one exchange_ended or exchange_failed event, or with no event once the core has cancelled it.
+class endpoint_client {
  public:
-  explicit endpoint_side(std::shared_ptr<event_ring> core);
+  explicit endpoint_client(std::shared_ptr<event_ring> core);
 
   void start() { thread_.start(); }
   void stop() { thread_.stop(); }
@@ -28,25 +28,25 @@
   }
 
  private:
-  void take(const core::start_exchange& a);
-  void take(const core::cancel_exchange& a);
-  void take(const core::poll_load& a);
-  void take(const core::poll_cache_events& a);
-  void take(const core::close_idle_connections& a);
+  void handle_action(const core::start_exchange& a);
+  void handle_action(const core::cancel_exchange& a);
+  void handle_action(const core::poll_load& a);
+  void handle_action(const core::poll_cache_events& a);
+  void handle_action(const core::close_idle_connections& a);
 
   boost::asio::awaitable<void> run(core::start_exchange a, std::shared_ptr<http::exchange> handle);
-  boost::asio::awaitable<void> run_whole(core::start_exchange a);
+  boost::asio::awaitable<void> run_unary(core::start_exchange a);
   boost::asio::awaitable<void> run_streamed(core::start_exchange a,
                                             std::shared_ptr<http::exchange> handle);
   boost::asio::awaitable<void> poll(core::poll_load a);
   boost::asio::awaitable<void> poll(core::poll_cache_events a);
-  boost::asio::awaitable<bool> fetch(http::socket_address from, std::string target,
-                                     mono_time deadline, boost::json::value& out);
+  boost::asio::awaitable<bool> fetch_json(http::socket_address from, std::string target,
+                                          mono_time deadline, boost::json::value& out);
   void report(core::exchange_number number, core::event e);
 
-  duty_thread<core::endpoint_action> thread_;
+  io_thread<core::endpoint_action> thread_;
   http::client client_;
-  std::map<core::exchange_number, std::shared_ptr<http::exchange>> running_;
+  std::map<core::exchange_number, std::shared_ptr<http::exchange>> running_exchanges_;
 };
 
 } // namespace wisteriaflow::daemon
--- a/include/wisteriaflow/daemon/event_sink.h
+++ b/include/wisteriaflow/daemon/event_sink.h
@@ -1,4 +1,4 @@
-// The rings that join the core with the other duties.
+// The queues between the core and the I/O components.
 
 #ifndef WISTERIAFLOW_DAEMON_EVENT_SINK_H_
 #define WISTERIAFLOW_DAEMON_EVENT_SINK_H_
@@ -11,10 +11,10 @@
 
 namespace wisteriaflow::daemon {
 
-// Towards the core, from every duty.
+// Carries the events of all I/O components to the core.
 using event_ring = bounded_ring<core::event>;
 
-// Messages each ring holds. A burst of a few seconds at the planned rates fits.
+// Capacities in messages; enough for a burst of a few seconds at the expected rates.
 constexpr std::size_t event_ring_capacity = 16'384;
 constexpr std::size_t action_ring_capacity = 16'384;
 
--- a/include/wisteriaflow/daemon/log.h
+++ b/include/wisteriaflow/daemon/log.h
@@ -1,7 +1,7 @@
-// Structured logs: one JSON object a line on standard output, through log4cxx.
+// Structured logs: one JSON object per line on standard output, written by log4cxx.
 //
-// Duties never wait for the output: they hand lines to a bounded ring that a thread of its own
-// writes out. A full ring drops the line and counts it.
+// write_log() can block on the output. Threads that must not block use log_writer, which queues
+// lines for a separate thread, and drops and counts them if its queue is full.
 
 #ifndef WISTERIAFLOW_DAEMON_LOG_H_
 #define WISTERIAFLOW_DAEMON_LOG_H_
@@ -12,20 +12,20 @@
 
 namespace wisteriaflow::daemon {
 
-// How much a line matters.
+// Severity of a line.
 enum class log_level { trace, debug, info, warn, error };
 
-// One line: what happened, and the facts with it.
+// One log line: a message, and fields with the details.
 struct log_line {
   log_level level = log_level::info;
   std::string message;
   std::vector<std::pair<std::string, std::string>> fields;
 };
 
-// Configures the output: JSON lines on standard output, at `level` and above. Call once, at start.
+// Sets up JSON output on standard output for lines of `level` and above. Call once at start.
 void configure_logging(const std::string& level);
 
-// Writes one line; for the logging thread and for programs that have just one thread.
+// Writes one line. For the thread of log_writer and for single-threaded programs.
 void write_log(const log_line& line);
 
 } // namespace wisteriaflow::daemon
--- a/include/wisteriaflow/daemon/log_writer.h
+++ b/include/wisteriaflow/daemon/log_writer.h
@@ -1,5 +1,5 @@
-// Writes log lines on a thread of its own, so that no duty waits for standard output. While nobody
-// reads the output, lines are dropped and counted.
+// Writes log lines on a separate thread, so that no other thread blocks on standard output. If
+// nobody reads the output, lines are dropped and counted.
 //
 //   log_writer log;
 //   log.write({.message = "started", .fields = {{"daemon", id}}});
@@ -22,37 +22,39 @@
 class log_writer {
  public:
   log_writer();
-  // Writes what is in the ring as long as the output takes it, and ends.
+  // Writes the queued lines and ends the thread. Gives up after 500 ms if the output blocks.
   ~log_writer();
   log_writer(const log_writer&) = delete;
   log_writer& operator=(const log_writer&) = delete;
 
-  // Never blocks; a full ring drops the line. Returns whether it was kept. Any thread may call it.
+  // Queues a line without blocking. Returns false if the ring was full and the line was dropped.
+  // Thread-safe.
   bool write(log_line line)
   {
-    const bool kept = ring_.try_push(std::move(line));
-    dropped_ += kept ? 0 : 1;
-    return kept;
+    const bool pushed = ring_.try_push(std::move(line));
+    dropped_ += pushed ? 0 : 1;
+    return pushed;
   }
 
-  // Lines that wait for the output.
+  // The number of lines that are not written yet.
   [[nodiscard]] std::size_t queued() const { return ring_.size(); }
 
-  // Lines dropped so far.
+  // The number of lines dropped so far.
   [[nodiscard]] std::uint64_t dropped() const { return dropped_; }
 
  private:
   void run();
-  // Writes one line once the output takes it; drops it if the writer gives up before.
+  // Writes one line as soon as the output accepts it; drops it after the shutdown deadline.
   void write_when_ready(const log_line& line);
-  // Whether the writer ends and has waited for the output long enough.
-  bool has_given_up();
-  void tell_dropped();
+  // Whether shutdown has begun and its deadline has passed. Sets the deadline on the first call
+  // after the ring was closed.
+  bool shutdown_deadline_passed();
+  void report_dropped();
 
   bounded_ring<log_line> ring_;
   std::atomic<std::uint64_t> dropped_ = 0;
-  std::uint64_t dropped_told_ = 0;      // of the writer's thread
-  std::optional<mono_time> give_up_at_; // set once the writer ends
+  std::uint64_t reported_dropped_ = 0;         // of the writer's thread
+  std::optional<mono_time> shutdown_deadline_; // set once the writer ends
   std::thread thread_;
 };
 
--- a/include/wisteriaflow/daemon/platform_side.h
+++ b/include/wisteriaflow/daemon/platform_side.h
@@ -1,5 +1,5 @@
-// The duty towards the platform: object API calls, the watch on declarations, the instance list
-// and reclaim notices.
+// HTTP client for the platform: calls of the object API and the cloud API, the watch on
+// declarations, and polling of the instance list and of reclaim notices.
 
 #ifndef WISTERIAFLOW_DAEMON_PLATFORM_SIDE_H_
 #define WISTERIAFLOW_DAEMON_PLATFORM_SIDE_H_
@@ -16,11 +16,12 @@
 
 namespace wisteriaflow::daemon {
 
-// Calls the platform. Each loop backs off with full jitter while its service fails, so that a
-// fleet does not come back all at once.
-class platform_side {
+// Runs the core's calls to the platform, and the loops that watch or poll it. Each loop backs off
+// with full jitter while its service fails, so that the daemons of a fleet do not all retry at the
+// same time.
+class platform_client {
  public:
-  platform_side(const settings& s, std::shared_ptr<event_ring> core);
+  platform_client(const settings& s, std::shared_ptr<event_ring> core);
 
   void start();
   void stop() { thread_.stop(); }
@@ -30,8 +31,8 @@
   }
 
  private:
-  void take(core::call_store a);
-  void take(core::call_cloud a);
+  void handle_action(core::call_store a);
+  void handle_action(core::call_cloud a);
   boost::asio::awaitable<void> run_cloud_call(core::call_cloud a);
   boost::asio::awaitable<void> run_store_call(core::call_store a);
   boost::asio::awaitable<core::store_answer> perform(const core::call_store& a);
@@ -40,15 +41,15 @@
   boost::asio::awaitable<std::uint64_t> list_declarations();
   boost::asio::awaitable<void> poll_instances();
   boost::asio::awaitable<void> poll_notices();
-  boost::asio::awaitable<bool> fetch(http::socket_address from, std::string target,
-                                     boost::json::value& out);
-  boost::asio::awaitable<void> sleep(std::chrono::milliseconds period);
+  boost::asio::awaitable<bool> fetch_json(http::socket_address from, std::string target,
+                                          boost::json::value& out);
+  boost::asio::awaitable<void> async_sleep(std::chrono::milliseconds period);
   [[nodiscard]] std::chrono::milliseconds backoff(unsigned failures);
-  [[nodiscard]] std::chrono::milliseconds jittered(std::chrono::milliseconds longest);
+  [[nodiscard]] std::chrono::milliseconds random_delay(std::chrono::milliseconds max_delay);
   [[nodiscard]] mono_time call_deadline() const;
 
   settings settings_;
-  duty_thread<core::platform_action> thread_;
+  io_thread<core::platform_action> thread_;
   http::client client_;
   platform::object_api store_;
   std::mt19937_64 random_;
--- a/include/wisteriaflow/daemon/ring_port.h
+++ b/include/wisteriaflow/daemon/ring_port.h
@@ -1,4 +1,4 @@
-// The sending end of a bounded ring for a duty that must not wait and must not lose a message.
+// The sending end of a bounded ring, for a thread that must neither block nor lose messages.
 
 #ifndef WISTERIAFLOW_DAEMON_RING_PORT_H_
 #define WISTERIAFLOW_DAEMON_RING_PORT_H_
@@ -11,35 +11,36 @@
 
 namespace wisteriaflow::daemon {
 
-// Keeps messages in order while the ring is full, and passes them on at the next flush. What can
-// pile up here is bounded by the requests that were admitted. Used by one thread.
-template <typename T> class ring_port {
+// Buffers messages in order while the ring is full and sends them at the next flush(). The buffer
+// is bounded only by the number of admitted requests. Not thread-safe.
+template <typename T> class ring_sender {
  public:
-  explicit ring_port(std::shared_ptr<bounded_ring<T>> ring) : ring_(std::move(ring)) {}
+  explicit ring_sender(std::shared_ptr<bounded_ring<T>> ring) : ring_(std::move(ring)) {}
 
-  // Sends `message`, or keeps it until flush().
+  // Sends `message`, or buffers it until flush().
   void post(T message)
   {
-    waiting_.push_back(std::move(message));
+    pending_.push_back(std::move(message));
     flush();
   }
 
-  // Sends what is kept, as far as the ring takes it. Returns whether nothing is left.
+  // Sends buffered messages until the ring is full. Returns false if some are left and the ring is
+  // still open.
   bool flush()
   {
-    while (!waiting_.empty()) {
-      // A copy, because a refused push has consumed its argument.
-      if (!ring_->try_push(waiting_.front())) {
+    while (!pending_.empty()) {
+      // Passes a copy, because a failed push consumes its argument as well.
+      if (!ring_->try_push(pending_.front())) {
         return ring_->closed();
       }
-      waiting_.pop_front();
+      pending_.pop_front();
     }
     return true;
   }
 
  private:
   std::shared_ptr<bounded_ring<T>> ring_;
-  std::deque<T> waiting_;
+  std::deque<T> pending_;
 };
 
 } // namespace wisteriaflow::daemon
--- a/include/wisteriaflow/daemon/settings.h
+++ b/include/wisteriaflow/daemon/settings.h
@@ -1,4 +1,4 @@
-// The daemon's settings: an INI file, checked whole before anything starts.
+// The daemon's settings: an INI file that is read and validated completely at start.
 //
 //   const auto s = daemon::load_settings("/etc/wisteriaflow.ini");
 //   s.callers_listen;  // "127.0.0.1:8080"
@@ -18,14 +18,14 @@
 
 namespace wisteriaflow::daemon {
 
-// A settings file that cannot be used. The message names file, section, key, value and what is
-// allowed.
+// The settings file cannot be used. The message names the file, section, key and value, and what
+// is allowed.
 class settings_error : public error {
  public:
   using error::error;
 };
 
-// Everything a daemon learns from its file. Addresses are "IP:port"; lists are comma separated.
+// The values of all keys, by section. Addresses are "IP:port"; lists are comma-separated.
 struct settings {
   // [daemon]
   std::string daemon_id;
@@ -112,21 +112,21 @@
   friend bool operator==(const settings&, const settings&) = default;
 };
 
-// Reads and checks the file at `path`. Throws settings_error.
+// Reads and validates the file at `path`. Throws settings_error.
 [[nodiscard]] settings load_settings(const std::string& path);
 
-// Reads and checks settings from `in`; `name` stands for the file in errors.
+// Reads and validates settings from `in`; `name` is the file name in errors. Throws settings_error.
 [[nodiscard]] settings parse_settings(std::istream& in, const std::string& name);
 
-// One line a key for the reference: section, key, default and what is allowed.
+// Describes one key for the reference: section, key, default and allowed values.
 struct setting_description {
   std::string section;
   std::string key;
-  std::string fallback;
+  std::string default_value;
   std::string allowed;
 };
 
-// Describes every key, in the file's order.
+// Describes all keys, section by section.
 [[nodiscard]] std::vector<setting_description> describe_settings();
 
 } // namespace wisteriaflow::daemon
--- a/include/wisteriaflow/platform/label_edits.h
+++ b/include/wisteriaflow/platform/label_edits.h
@@ -1,4 +1,4 @@
-// Edits of labels, and how those of several operators at the same moment come together.
+// Edits of labels, and detection of conflicts between concurrent edits of several operators.
 
 #ifndef WISTERIAFLOW_PLATFORM_LABEL_EDITS_H_
 #define WISTERIAFLOW_PLATFORM_LABEL_EDITS_H_
@@ -12,38 +12,40 @@
 
 namespace wisteriaflow::platform {
 
-// Sets a label, or removes it.
+// Sets or removes one label.
 struct label_edit {
   std::string key;
-  std::optional<std::string> value; // none: remove
+  std::optional<std::string> value; // nullopt removes the label
 
   friend bool operator==(const label_edit&, const label_edit&) = default;
 };
 
-// Parses "key=value" or "key-". Throws invalid_input_error.
+// Parses "key=value" (set) or "key-" (remove). Throws invalid_input_error.
 [[nodiscard]] label_edit parse_label_edit(std::string_view text);
 
-// `labels` after `edits`.
+// Returns `labels` with `edits` applied in their order.
 [[nodiscard]] objects::label_set apply_edits(const objects::label_set& labels,
                                              const std::vector<label_edit>& edits);
 
-// A key that one operator edits and another has changed to something else.
+// A label that one operator edits and that was changed concurrently to a different value. nullopt
+// stands for an absent label.
 struct label_conflict {
   std::string key;
-  std::optional<std::string> read;   // when the edit began
-  std::optional<std::string> found;  // now
-  std::optional<std::string> wanted; // by the edit
+  std::optional<std::string> base_value;      // when the edit began
+  std::optional<std::string> current_value;   // in the stored object now
+  std::optional<std::string> requested_value; // that the edit sets
 
   friend bool operator==(const label_conflict&, const label_conflict&) = default;
 };
 
-// The first key of `edits` whose value changed between `read` and `found` to other than what is
-// wanted. Edits of different keys do not conflict.
-[[nodiscard]] std::optional<label_conflict> find_conflict(const objects::label_set& read,
-                                                          const objects::label_set& found,
+// Returns the first key of `edits` whose value differs between `base` (when the edit began) and
+// `current`, unless `current` has the requested value already. Edits of different keys do not
+// conflict.
+[[nodiscard]] std::optional<label_conflict> find_conflict(const objects::label_set& base,
+                                                          const objects::label_set& current,
                                                           const std::vector<label_edit>& edits);
 
-// "tier was gold, is silver now, wanted bronze".
+// Returns, for example, `label tier was "gold", is now "silver", wanted "bronze"`.
 [[nodiscard]] std::string to_string(const label_conflict& conflict);
 
 } // namespace wisteriaflow::platform
--- a/include/wisteriaflow/platform/operator_commands.h
+++ b/include/wisteriaflow/platform/operator_commands.h
@@ -1,9 +1,12 @@
-// What operators do to declared objects, as the tool wisteriaflowctl offers it: read, apply, label,
+// The commands of the operators' tool wisteriaflowctl on declared objects: get, apply, label,
 // delete, and read the audit trail.
 //
-// Changes are checked against the whole live configuration before anything is written. Races end
-// in one winner and a conflict_error for the other, but for edits of different labels, which both
-// hold.
+//   operator_commands commands(api, {.author = {.name = "ann", .cause = "more capacity"}});
+//   co_await commands.apply(parse_documents(text));
+//
+// Changes are validated against the complete stored configuration before anything is written. Of
+// two concurrent changes of one object, one succeeds and the other throws conflict_error; edits of
+// different labels both succeed.
 
 #ifndef WISTERIAFLOW_PLATFORM_OPERATOR_COMMANDS_H_
 #define WISTERIAFLOW_PLATFORM_OPERATOR_COMMANDS_H_
@@ -26,33 +29,34 @@
 
 namespace wisteriaflow::platform {
 
-// Who makes changes, and why; kept in annotations and so in the audit trail.
+// Who makes a change and why. Stored in annotations of the object, from where it gets into the
+// audit trail.
 struct change_author {
   std::string name;
   std::string cause;
 };
 
-// A kind and a name. The kind is the object's canonical one, such as "Pool".
+// Identifies an object. The kind is a canonical one, such as "Pool" (see canonical_kind()).
 struct object_reference {
   std::string kind;
   std::string name;
 };
 
-// What became of one object.
+// What a command did to one object.
 enum class change_result { created, changed, unchanged, deleted };
 
 struct changed_object {
   std::string kind;
   std::string name;
-  std::uint64_t revision = 0; // now; of the last version, if it was deleted
+  std::uint64_t revision = 0; // after the command; for a deleted object, its last revision
   change_result result = change_result::unchanged;
 
   friend bool operator==(const changed_object&, const changed_object&) = default;
 };
 
-// The audit trail, and the names of records that could not be read.
+// The audit trail. `unreadable` has the names of records that could not be decoded.
 struct audit_trail {
-  std::vector<objects::audit_record> records; // by time, then by revision
+  std::vector<objects::audit_record> records; // sorted by time, then by revision
   std::vector<std::string> unreadable;
 };
 
@@ -60,63 +64,64 @@
 struct operator_command_options {
   change_author author;
   mono_time deadline = mono_time::max(); // of everything done through one operator_commands
-  settled_write_options writes;
+  object_retry_options retries;
 };
 
-// Runs commands one after the other. Each throws platform_unavailable, conflict_error,
+// Runs one command at a time. Each command throws platform_unavailable, conflict_error,
 // not_found_error, rejected_error or invalid_input_error.
 class operator_commands {
  public:
   operator_commands(object_api& api, operator_command_options options);
 
-  // The declared objects, sorted by kind and name. An empty kind or name means all.
+  // Returns declared objects, sorted by kind and name. An empty kind or name matches all.
   boost::asio::awaitable<std::vector<boost::json::value>> get(std::string kind, std::string name);
 
-  // Creates or replaces each of `documents`. The spec becomes that of the document; labels and
-  // annotations of the document are set and others kept, so that label edits made elsewhere hold.
-  // A document with a resourceVersion applies only to that version. Nothing is written unless the
-  // configuration would be valid as a whole; the writes then go one by one, in the order in which
-  // objects refer to each other.
+  // Creates or updates each of `documents`. The spec of a document replaces the stored one. Its
+  // labels and annotations are set and other stored ones are kept, so that label edits by others
+  // are not undone. A document with a resourceVersion is applied only to that version. Nothing is
+  // written unless the complete configuration would be valid. The objects are then written one by
+  // one, each after the objects that it refers to.
   boost::asio::awaitable<std::vector<changed_object>>
   apply(std::vector<boost::json::value> documents);
 
-  // Edits labels. Others' edits of other keys hold; another's edit of the same key meanwhile is a
-  // conflict. With `expected_revision` the edit applies only to that version, whatever its labels.
+  // Edits labels. Concurrent edits of other keys are kept; a concurrent edit of the same key is a
+  // conflict. With `expected_revision`, the edit is applied only if the object has that revision,
+  // whatever its labels are.
   boost::asio::awaitable<changed_object> label(object_reference target,
                                                std::vector<label_edit> edits,
                                                std::optional<std::uint64_t> expected_revision);
 
-  // Deletes an object that nothing refers to.
+  // Deletes an object. Throws invalid_input_error if other objects refer to it.
   boost::asio::awaitable<changed_object> remove(object_reference target,
                                                 std::optional<std::uint64_t> expected_revision);
 
-  // The audit trail, or that of one object.
+  // Returns the audit trail of the object with this name, or of all objects if it is empty.
   boost::asio::awaitable<audit_trail> audit(std::string object_name);
 
  private:
   boost::asio::awaitable<stored_object> read(object_reference target);
   boost::asio::awaitable<changed_object> apply_one(boost::json::value wanted,
                                                    std::optional<stored_object> read);
-  void stamp(boost::json::value& document) const;
+  void annotate_author(boost::json::value& document) const;
 
   operator_command_options options_;
-  settled_writes declarations_;
-  settled_writes audit_records_;
+  retrying_object_client declarations_;
+  retrying_object_client audit_records_;
 };
 
-// Reads one document, an array of them, a List, or several one after the other. Throws
-// invalid_input_error.
+// Parses JSON text: one document, an array of documents, an object with a List's "items", or
+// several of these one after the other. Throws invalid_input_error.
 [[nodiscard]] std::vector<boost::json::value> parse_documents(std::string_view text);
 
-// Checks documents by themselves, as one whole configuration. Throws invalid_input_error with
-// every fault.
+// Validates documents as a complete configuration, without the platform. Throws
+// invalid_input_error that lists every fault.
 void validate_documents(const std::vector<boost::json::value>& documents);
 
-// The canonical kind for what an operator typed, such as "pools" or "routing_intent". Throws
-// invalid_input_error with what is allowed.
+// Returns the canonical kind, such as "Pool" or "RoutingIntent", for an operator's spelling, such
+// as "pools" or "routing_intent". Throws invalid_input_error that lists the known kinds.
 [[nodiscard]] std::string canonical_kind(std::string_view text);
 
-// "created", "changed", "unchanged" or "deleted".
+// Returns "created", "changed", "unchanged" or "deleted".
 [[nodiscard]] std::string_view to_string(change_result result);
 
 } // namespace wisteriaflow::platform
--- a/include/wisteriaflow/platform/settled_writes.h
+++ b/include/wisteriaflow/platform/settled_writes.h
@@ -1,9 +1,11 @@
-// Writes to the object API whose outcome is known even when the answer is lost.
+// Client of the object API that retries calls and determines the outcome of unanswered writes.
 //
-// Each write carries an id of its own in the annotation wisteriaflow.dev/write-id. When an answer
-// is lost, the object is read back: if it carries the id, the write took effect; if the object is
-// still the one that was to be replaced, the same conditional write is sent again, of which only
-// one can take effect.
+//   retrying_object_client declarations(api, "declarations");
+//   auto written = co_await declarations.replace(document, deadline);
+//
+// Each write has a unique id in the annotation wisteriaflow.dev/write-id. If the response is lost,
+// the object is read back. If it has the id, the write took effect. If it is still the version to
+// be replaced, the same conditional write is sent again; at most one of them can take effect.
 
 #ifndef WISTERIAFLOW_PLATFORM_SETTLED_WRITES_H_
 #define WISTERIAFLOW_PLATFORM_SETTLED_WRITES_H_
@@ -23,38 +25,39 @@
 
 namespace wisteriaflow::platform {
 
-// Times of settled writes.
-struct settled_write_options {
+// Timeout and backoff of the calls.
+struct object_retry_options {
   std::chrono::milliseconds call_timeout{2'000};
-  std::chrono::milliseconds first_pause{20}; // before a call is repeated; then doubled, jittered
-  std::chrono::milliseconds longest_pause{1'000};
+  std::chrono::milliseconds initial_backoff{20}; // before the first retry; doubled for each later
+                                                 // one, with jitter
+  std::chrono::milliseconds max_backoff{1'000};
 };
 
-// Writes objects of one resource. Each call throws conflict_error, not_found_error or
-// rejected_error when the write did not take effect, and platform_unavailable when the deadline
-// passed before that could be told.
-class settled_writes {
+// Reads and writes objects of one resource type. Each call throws conflict_error, not_found_error
+// or rejected_error if the write did not take effect, and platform_unavailable if the deadline
+// passed before the outcome was known.
+class retrying_object_client {
  public:
-  settled_writes(object_api& api, std::string plural, settled_write_options options = {});
+  retrying_object_client(object_api& api, std::string plural, object_retry_options options = {});
 
-  // Reads one object, again and again while the platform does not answer.
+  // Reads one object; retries while the platform is unavailable.
   boost::asio::awaitable<stored_object> get(std::string_view name, mono_time deadline);
 
-  // Lists the resource, in the same way.
+  // Lists all objects; retries while the platform is unavailable.
   boost::asio::awaitable<object_list> list(mono_time deadline);
 
-  // Creates `document`.
+  // Creates `document`; throws conflict_error if the name exists.
   boost::asio::awaitable<stored_object> create(boost::json::value document, mono_time deadline);
 
-  // Replaces the object whose version is in `document`'s metadata.
+  // Replaces the object if it still has the version in `document`'s metadata.
   boost::asio::awaitable<stored_object> replace(boost::json::value document, mono_time deadline);
 
-  // Deletes the object if it has `version`. Success if it is gone.
+  // Deletes the object if it has `version`; succeeds if it does not exist.
   boost::asio::awaitable<void> remove(std::string name, std::uint64_t version, mono_time deadline);
 
-  // Waits for a jittered time that grows with `attempt`, counted from 0. Throws
-  // platform_unavailable with `why` if that would pass the deadline.
-  boost::asio::awaitable<void> pause(int attempt, mono_time deadline, std::string why);
+  // Waits before a retry, for a random time whose limit doubles with each `attempt` (counted from
+  // 0). Throws platform_unavailable with `error_text` if the wait would pass the deadline.
+  boost::asio::awaitable<void> back_off(int attempt, mono_time deadline, std::string error_text);
 
  private:
   boost::asio::awaitable<std::optional<stored_object>> try_get(std::string_view name,
@@ -64,14 +67,14 @@
 
   object_api& api_;
   std::string plural_;
-  settled_write_options options_;
+  object_retry_options options_;
   std::mt19937_64 random_;
 };
 
-// `document` with an annotation set; the document must have metadata.
+// Sets an annotation of `document`, which must have metadata.
 void set_annotation(boost::json::value& document, std::string_view key, std::string_view value);
 
-// The value of an annotation, or an empty string.
+// Returns the value of an annotation, or an empty string if there is none.
 [[nodiscard]] std::string annotation_of(const boost::json::value& document, std::string_view key);
 
 } // namespace wisteriaflow::platform
--- a/src/daemon/caller_side.cc
+++ b/src/daemon/caller_side.cc
@@ -21,8 +21,8 @@
           .write_timeout = s.write_timeout};
 }
 
-// Sent when the core's ring is full. The call was never seen by the core, so it was not run.
-http::response overloaded()
+// The response if the core's ring is full. The core never received the call, so it was not run.
+http::response overloaded_response()
 {
   return {.status = 503,
           .fields = {{.name = "Content-Type", .value = "application/json"},
@@ -61,8 +61,9 @@
 
 } // namespace
 
-caller_side::caller_side(const settings& s, std::shared_ptr<event_ring> core)
-    : core_(core), thread_(std::move(core), [this](core::caller_action a) { take(std::move(a)); }),
+caller_server::caller_server(const settings& s, std::shared_ptr<event_ring> core)
+    : core_(core),
+      thread_(std::move(core), [this](core::caller_action a) { handle_action(std::move(a)); }),
       server_(thread_.context(), server_options_of(s),
               [this](http::request message, http::response_writer& writer) {
                 return serve(std::move(message), writer);
@@ -70,49 +71,50 @@
 {
 }
 
-boost::asio::awaitable<void> caller_side::serve(http::request message,
-                                                http::response_writer& writer)
+boost::asio::awaitable<void> caller_server::serve(http::request message,
+                                                  http::response_writer& writer)
 {
   const auto call = ++last_call_;
   const auto box = std::make_shared<mailbox>(thread_.context());
-  open_.emplace(call, box);
-  // A new call is refused when the ring is full; it is never queued outside it.
+  open_calls_.emplace(call, box);
+  // A new call is refused if the ring is full; it is never queued elsewhere.
   core::event received = core::call_received{.call = call, .message = std::move(message)};
   if (!core_->try_push(std::move(received))) {
-    open_.erase(call);
-    co_await writer.send(overloaded());
+    open_calls_.erase(call);
+    co_await writer.send(overloaded_response());
     co_return;
   }
   writer.on_peer_closed([box] {
     box->closed_by_peer = true;
-    box->signal.cancel();
+    box->changed.cancel();
   });
   bool ended = false;
   try {
-    co_await answer(*box, writer);
+    co_await write_responses(*box, writer);
     ended = !box->closed_by_peer;
   } catch (const http::http_error&) {
     ended = false;
   }
-  open_.erase(call);
+  open_calls_.erase(call);
   if (!ended) {
     thread_.post_event(core::caller_closed{.call = call});
     writer.abort();
   }
 }
 
-boost::asio::awaitable<void> caller_side::answer(mailbox& box, http::response_writer& writer)
+boost::asio::awaitable<void> caller_server::write_responses(mailbox& box,
+                                                            http::response_writer& writer)
 {
   const write_action write{writer};
   while (!box.closed_by_peer) {
-    if (box.waiting.empty()) {
+    if (box.pending.empty()) {
       boost::system::error_code ec;
-      box.signal.expires_at(mono_time::max());
-      co_await box.signal.async_wait(boost::asio::redirect_error(boost::asio::use_awaitable, ec));
+      box.changed.expires_at(mono_time::max());
+      co_await box.changed.async_wait(boost::asio::redirect_error(boost::asio::use_awaitable, ec));
       continue;
     }
-    auto next = std::move(box.waiting.front());
-    box.waiting.pop_front();
+    auto next = std::move(box.pending.front());
+    box.pending.pop_front();
     const bool ended = co_await std::visit(write, std::move(next));
     if (ended) {
       co_return;
@@ -120,17 +122,17 @@
   }
 }
 
-void caller_side::deliver(core::call_number call, core::caller_action a)
+void caller_server::deliver(core::call_number call, core::caller_action a)
 {
-  const auto it = open_.find(call);
-  if (it == open_.end()) {
-    return; // the caller has gone
+  const auto it = open_calls_.find(call);
+  if (it == open_calls_.end()) {
+    return; // the caller has disconnected
   }
-  it->second->waiting.push_back(std::move(a));
-  it->second->signal.cancel();
+  it->second->pending.push_back(std::move(a));
+  it->second->changed.cancel();
 }
 
-void caller_side::take(core::caller_action a)
+void caller_server::handle_action(core::caller_action a)
 {
   if (std::holds_alternative<core::stop_accepting>(a)) {
     server_.stop_accepting();
--- a/src/daemon/daemon.cc
+++ b/src/daemon/daemon.cc
@@ -19,14 +19,15 @@
 namespace wisteriaflow::daemon {
 namespace {
 
-// The core wakes at least this often, so that a clock step cannot stop it.
-constexpr std::chrono::milliseconds longest_sleep{500};
-// While a ring is full, the core tries again this soon.
-constexpr std::chrono::milliseconds full_ring_sleep{1};
-// What the last actions ask of the other duties gets this long to be done before they stop.
-constexpr std::chrono::milliseconds flush_time{200};
-// With 32 shards and 200 ms this keeps a shard's owner under its 16 KB/s at 540 claims a second
-// (bench/claims_bench: 11.5 KB/s a shard, 219 writes/s, 102 ms mean wait).
+// The core runs at least this often, so that a clock step cannot suspend it.
+constexpr std::chrono::milliseconds max_sleep{500};
+// Delay before the core retries to send actions to a full ring.
+constexpr std::chrono::milliseconds full_ring_retry_delay{1};
+// Time for the I/O components to carry out the last actions before they are stopped.
+constexpr std::chrono::milliseconds final_action_time{200};
+// With 32 shards and a flush interval of 200 ms, this keeps the writes of a shard's owner below
+// its limit of 16 KB/s at 540 claims per second (bench/claims_bench: 11.5 KB/s per shard, 219
+// writes/s, 102 ms mean wait).
 constexpr std::size_t claim_tail_entries = 16;
 
 clock_reading read_clocks()
@@ -156,11 +157,11 @@
                 .fields = {{"daemon", id_},
                            {"callers", to_string(caller_address())},
                            {"peers", to_string(peer_address())}}});
-    carry_out(core_.handle(core::ticked{}, read_clocks()));
+    perform(core_.handle(core::ticked{}, read_clocks()));
     while (!stopping_) {
       step();
     }
-    std::this_thread::sleep_for(flush_time);
+    std::this_thread::sleep_for(final_action_time);
     callers_.stop();
     endpoints_.stop();
     platform_.stop();
@@ -170,7 +171,7 @@
  private:
   void step()
   {
-    auto wake = std::chrono::steady_clock::now() + (flushed_ ? longest_sleep : full_ring_sleep);
+    auto wake = std::chrono::steady_clock::now() + (flushed_ ? max_sleep : full_ring_retry_delay);
     if (const auto due = core_.wake_at()) {
       wake = std::min(wake, *due);
     }
@@ -179,7 +180,7 @@
       events.emplace_back(core::ticked{});
     }
     for (auto& e : events) {
-      carry_out(core_.handle(std::move(e), read_clocks()));
+      perform(core_.handle(std::move(e), read_clocks()));
     }
     const bool callers = to_callers_.flush();
     const bool endpoints = to_endpoints_.flush();
@@ -188,18 +189,18 @@
     flushed_ = callers && endpoints && platform && peers;
   }
 
-  void carry_out(std::vector<core::action> actions)
+  void perform(std::vector<core::action> actions)
   {
     for (auto& a : actions) {
-      std::visit([this](auto& one) { take(std::move(one)); }, a);
+      std::visit([this](auto& one) { dispatch(std::move(one)); }, a);
     }
   }
 
-  void take(core::caller_action a) { to_callers_.post(std::move(a)); }
-  void take(core::endpoint_action a) { to_endpoints_.post(std::move(a)); }
-  void take(core::platform_action a) { to_platform_.post(std::move(a)); }
-  void take(core::peer_action a) { to_peers_.post(std::move(a)); }
-  void take(core::process_action a)
+  void dispatch(core::caller_action a) { to_callers_.post(std::move(a)); }
+  void dispatch(core::endpoint_action a) { to_endpoints_.post(std::move(a)); }
+  void dispatch(core::platform_action a) { to_platform_.post(std::move(a)); }
+  void dispatch(core::peer_action a) { to_peers_.post(std::move(a)); }
+  void dispatch(core::process_action a)
   {
     if (std::holds_alternative<core::stop_process>(a)) {
       stopping_ = true;
@@ -213,14 +214,14 @@
   }
 
   std::shared_ptr<event_ring> events_;
-  caller_side callers_;
-  endpoint_side endpoints_;
-  platform_side platform_;
+  caller_server callers_;
+  endpoint_client endpoints_;
+  platform_client platform_;
   peer::peer_side peers_;
-  ring_port<core::caller_action> to_callers_;
-  ring_port<core::endpoint_action> to_endpoints_;
-  ring_port<core::platform_action> to_platform_;
-  ring_port<core::peer_action> to_peers_;
+  ring_sender<core::caller_action> to_callers_;
+  ring_sender<core::endpoint_action> to_endpoints_;
+  ring_sender<core::platform_action> to_platform_;
+  ring_sender<core::peer_action> to_peers_;
   core::daemon_core core_;
   std::string id_;
   log_writer log_;
--- a/src/daemon/endpoint_side.cc
+++ b/src/daemon/endpoint_side.cc
@@ -11,58 +11,58 @@
 
 namespace wisteriaflow::daemon {
 
-endpoint_side::endpoint_side(std::shared_ptr<event_ring> core)
+endpoint_client::endpoint_client(std::shared_ptr<event_ring> core)
     : thread_(std::move(core),
               [this](core::endpoint_action a) {
-                std::visit([this](const auto& one) { take(one); }, a);
+                std::visit([this](const auto& one) { handle_action(one); }, a);
               }),
       client_(thread_.context())
 {
 }
 
-// Says what became of an exchange, unless the core has cancelled it meanwhile.
-void endpoint_side::report(core::exchange_number number, core::event e)
+// Sends an event of an exchange to the core, unless the core has cancelled the exchange.
+void endpoint_client::report(core::exchange_number number, core::event e)
 {
-  if (running_.contains(number)) {
+  if (running_exchanges_.contains(number)) {
     thread_.post_event(std::move(e));
   }
 }
 
-void endpoint_side::take(const core::start_exchange& a)
+void endpoint_client::handle_action(const core::start_exchange& a)
 {
   const auto handle = std::make_shared<http::exchange>();
-  running_.emplace(a.exchange, handle);
+  running_exchanges_.emplace(a.exchange, handle);
   boost::asio::co_spawn(thread_.context(), run(a, handle), boost::asio::detached);
 }
 
-void endpoint_side::take(const core::cancel_exchange& a)
+void endpoint_client::handle_action(const core::cancel_exchange& a)
 {
-  const auto it = running_.find(a.exchange);
-  if (it == running_.end()) {
+  const auto it = running_exchanges_.find(a.exchange);
+  if (it == running_exchanges_.end()) {
     return;
   }
   const auto handle = it->second;
-  running_.erase(it);
+  running_exchanges_.erase(it);
   handle->cancel();
 }
 
-void endpoint_side::take(const core::poll_load& a)
+void endpoint_client::handle_action(const core::poll_load& a)
 {
   boost::asio::co_spawn(thread_.context(), poll(a), boost::asio::detached);
 }
 
-void endpoint_side::take(const core::poll_cache_events& a)
+void endpoint_client::handle_action(const core::poll_cache_events& a)
 {
   boost::asio::co_spawn(thread_.context(), poll(a), boost::asio::detached);
 }
 
-void endpoint_side::take(const core::close_idle_connections& a)
+void endpoint_client::handle_action(const core::close_idle_connections& a)
 {
   client_.forget(a.address);
 }
 
-boost::asio::awaitable<void> endpoint_side::run(core::start_exchange a,
-                                                std::shared_ptr<http::exchange> handle)
+boost::asio::awaitable<void> endpoint_client::run(core::start_exchange a,
+                                                  std::shared_ptr<http::exchange> handle)
 {
   const auto number = a.exchange;
   auto failure = core::exchange_failure::broken;
@@ -71,7 +71,7 @@
     if (a.streamed) {
       co_await run_streamed(std::move(a), std::move(handle));
     } else {
-      co_await run_whole(std::move(a));
+      co_await run_unary(std::move(a));
     }
     failed = false;
   } catch (const http::connect_error&) {
@@ -86,10 +86,10 @@
   } else {
     report(number, core::exchange_ended{.exchange = number});
   }
-  running_.erase(number);
+  running_exchanges_.erase(number);
 }
 
-boost::asio::awaitable<void> endpoint_side::run_whole(core::start_exchange a)
+boost::asio::awaitable<void> endpoint_client::run_unary(core::start_exchange a)
 {
   const auto number = a.exchange;
   auto whole = co_await client_.call(a.to, std::move(a.message), a.deadline);
@@ -101,8 +101,8 @@
   }
 }
 
-boost::asio::awaitable<void> endpoint_side::run_streamed(core::start_exchange a,
-                                                         std::shared_ptr<http::exchange> handle)
+boost::asio::awaitable<void> endpoint_client::run_streamed(core::start_exchange a,
+                                                           std::shared_ptr<http::exchange> handle)
 {
   const auto number = a.exchange;
   http::stream_observer observer;
@@ -116,26 +116,28 @@
                           handle.get());
 }
 
-boost::asio::awaitable<void> endpoint_side::poll(core::poll_load a)
+boost::asio::awaitable<void> endpoint_client::poll(core::poll_load a)
 {
   core::load_reported result{.endpoint = a.endpoint};
-  result.reached = co_await fetch(a.to, "/load", a.deadline, result.report);
+  result.reached = co_await fetch_json(a.to, "/load", a.deadline, result.report);
   thread_.post_event(std::move(result));
 }
 
-boost::asio::awaitable<void> endpoint_side::poll(core::poll_cache_events a)
+boost::asio::awaitable<void> endpoint_client::poll(core::poll_cache_events a)
 {
   core::cache_events_reported result{.endpoint = a.endpoint};
   auto target = "/cache-events?after=" + std::to_string(a.after);
-  const bool fetched = co_await fetch(a.to, std::move(target), a.deadline, result.report);
+  const bool fetched = co_await fetch_json(a.to, std::move(target), a.deadline, result.report);
   if (fetched) {
     thread_.post_event(std::move(result));
   }
 }
 
-// Gets a JSON document; false if there is none.
-boost::asio::awaitable<bool> endpoint_side::fetch(http::socket_address from, std::string target,
-                                                  mono_time deadline, boost::json::value& out)
+// Fetches a JSON document into `out`. Returns false if the call failed, the status was not 200, or
+// the body was not JSON.
+boost::asio::awaitable<bool> endpoint_client::fetch_json(http::socket_address from,
+                                                         std::string target, mono_time deadline,
+                                                         boost::json::value& out)
 {
   try {
     http::request message;
--- a/src/daemon/log.cc
+++ b/src/daemon/log.cc
@@ -41,7 +41,7 @@
 
 void write_log(const log_line& line)
 {
-  // The layout prints the mapped diagnostic context as fields of the JSON object.
+  // JSONLayout prints the mapped diagnostic context (MDC) as fields of the JSON object.
   for (const auto& [name, value] : line.fields) {
     log4cxx::MDC::put(name, value);
   }
--- a/src/daemon/log_writer.cc
+++ b/src/daemon/log_writer.cc
@@ -11,14 +11,14 @@
 namespace {
 
 constexpr std::size_t log_ring_capacity = 4'096; // lines
-// The output is looked at so often while nobody reads it; short against the time to end.
+// Interval at which a blocked output is checked; short compared with shutdown_timeout.
 constexpr int poll_period_ms = 50;
-// What is queued at the end gets this long. A process that drains must end within seconds.
-constexpr std::chrono::milliseconds time_to_end{500};
+// Time to write the queued lines at shutdown. A draining process must end within seconds.
+constexpr std::chrono::milliseconds shutdown_timeout{500};
 
-// Whether a line can be written without waiting. A pipe says so while it has room for a page,
-// 4,096 bytes, which is more than a line has.
-bool takes_a_line(int timeout_ms)
+// Whether a line can be written without blocking, within `timeout_ms`. A pipe is writable while it
+// has room for a page of 4,096 bytes, which is more than a line has.
+bool can_write_line(int timeout_ms)
 {
   pollfd output{.fd = STDOUT_FILENO, .events = POLLOUT, .revents = 0};
   return poll(&output, 1, timeout_ms) == 1;
@@ -41,16 +41,16 @@
     for (const auto& line : ring_.wait_pop_all(mono_time::max())) {
       write_when_ready(line);
     }
-    tell_dropped();
+    report_dropped();
   }
 }
 
 void log_writer::write_when_ready(const log_line& line)
 {
-  // Waiting here rather than in the write keeps the thread able to end: joined with a write that
-  // nobody reads, the process hung until it was killed.
-  while (!has_given_up()) {
-    if (takes_a_line(poll_period_ms)) {
+  // Waits for the output here, because a blocked write cannot be interrupted: when nobody read the
+  // output, joining this thread hung and the process had to be killed.
+  while (!shutdown_deadline_passed()) {
+    if (can_write_line(poll_period_ms)) {
       write_log(line);
       return;
     }
@@ -58,25 +58,25 @@
   ++dropped_;
 }
 
-bool log_writer::has_given_up()
+bool log_writer::shutdown_deadline_passed()
 {
   const auto now = std::chrono::steady_clock::now();
-  if (!give_up_at_ && ring_.closed()) {
-    give_up_at_ = now + time_to_end;
+  if (!shutdown_deadline_ && ring_.closed()) {
+    shutdown_deadline_ = now + shutdown_timeout;
   }
-  return give_up_at_ && *give_up_at_ <= now;
+  return shutdown_deadline_ && *shutdown_deadline_ <= now;
 }
 
-void log_writer::tell_dropped()
+void log_writer::report_dropped()
 {
   const auto dropped = dropped_.load();
-  if (dropped == dropped_told_) {
+  if (dropped == reported_dropped_) {
     return;
   }
   write_when_ready({.level = log_level::warn,
                     .message = "log lines dropped",
-                    .fields = {{"lines", std::to_string(dropped - dropped_told_)}}});
-  dropped_told_ = dropped;
+                    .fields = {{"lines", std::to_string(dropped - reported_dropped_)}}});
+  reported_dropped_ = dropped;
 }
 
 } // namespace wisteriaflow::daemon
--- a/src/daemon/platform_side.cc
+++ b/src/daemon/platform_side.cc
@@ -18,11 +18,12 @@
 
 constexpr std::chrono::milliseconds backoff_base{100};
 constexpr std::chrono::milliseconds backoff_limit{5'000};
-constexpr unsigned backoff_doublings = 6;
+constexpr unsigned max_backoff_doublings = 6;
 constexpr std::string_view declarations = "declarations";
 
-// The highest sequence number among notices; 0 for a document that cannot be read.
-std::int64_t last_sequence(const boost::json::value& document)
+// Returns the highest sequence number of the notices that could be read before the first malformed
+// one; 0 if there are none.
+std::int64_t highest_sequence(const boost::json::value& document)
 {
   std::int64_t out = 0;
   try {
@@ -40,7 +41,7 @@
   return {.name = std::move(o.name), .version = o.version, .document = std::move(o.document)};
 }
 
-// Performs one operation and fills in the answer's objects.
+// Visitor that runs one operation on the object API and returns the answer for the core.
 struct perform_operation {
   platform::object_api& store;
   mono_time deadline;
@@ -59,17 +60,17 @@
   result operator()(const core::store_get& o) const
   {
     auto found = co_await store.get(o.plural, o.name, deadline);
-    co_return one(std::move(found));
+    co_return answer_with(std::move(found));
   }
   result operator()(const core::store_create& o) const
   {
-    auto made = co_await store.create(o.plural, o.document, deadline);
-    co_return one(std::move(made));
+    auto created = co_await store.create(o.plural, o.document, deadline);
+    co_return answer_with(std::move(created));
   }
   result operator()(const core::store_replace& o) const
   {
-    auto made = co_await store.replace(o.plural, o.document, deadline);
-    co_return one(std::move(made));
+    auto replaced = co_await store.replace(o.plural, o.document, deadline);
+    co_return answer_with(std::move(replaced));
   }
   result operator()(const core::store_remove& o) const
   {
@@ -79,7 +80,7 @@
   }
 
  private:
-  static core::store_answer one(platform::stored_object o)
+  static core::store_answer answer_with(platform::stored_object o)
   {
     core::store_answer out{.status = core::store_status::ok};
     out.objects.push_back(store_object_of(std::move(o)));
@@ -89,17 +90,17 @@
 
 } // namespace
 
-platform_side::platform_side(const settings& s, std::shared_ptr<event_ring> core)
+platform_client::platform_client(const settings& s, std::shared_ptr<event_ring> core)
     : settings_(s), thread_(std::move(core),
                             [this](core::platform_action a) {
-                              std::visit([this](auto& one) { take(std::move(one)); }, a);
+                              std::visit([this](auto& one) { handle_action(std::move(one)); }, a);
                             }),
       client_(thread_.context()), store_(client_, http::parse_socket_address(s.object_api)),
       random_(hash64_of(s.daemon_id, static_cast<std::uint64_t>(s.seed)))
 {
 }
 
-void platform_side::start()
+void platform_client::start()
 {
   auto& context = thread_.context();
   boost::asio::co_spawn(context, watch_declarations(), boost::asio::detached);
@@ -110,17 +111,17 @@
   thread_.start();
 }
 
-void platform_side::take(core::call_store a)
+void platform_client::handle_action(core::call_store a)
 {
   boost::asio::co_spawn(thread_.context(), run_store_call(std::move(a)), boost::asio::detached);
 }
 
-void platform_side::take(core::call_cloud a)
+void platform_client::handle_action(core::call_cloud a)
 {
   boost::asio::co_spawn(thread_.context(), run_cloud_call(std::move(a)), boost::asio::detached);
 }
 
-boost::asio::awaitable<void> platform_side::run_cloud_call(core::call_cloud a)
+boost::asio::awaitable<void> platform_client::run_cloud_call(core::call_cloud a)
 {
   core::cloud_answer answer{.call = a.call};
   try {
@@ -133,14 +134,14 @@
   thread_.post_event(std::move(answer));
 }
 
-boost::asio::awaitable<void> platform_side::run_store_call(core::call_store a)
+boost::asio::awaitable<void> platform_client::run_store_call(core::call_store a)
 {
   auto answer = co_await perform(a);
   answer.call = a.call;
   thread_.post_event(std::move(answer));
 }
 
-boost::asio::awaitable<core::store_answer> platform_side::perform(const core::call_store& a)
+boost::asio::awaitable<core::store_answer> platform_client::perform(const core::call_store& a)
 {
   core::store_answer failed;
   try {
@@ -160,7 +161,7 @@
   co_return failed;
 }
 
-boost::asio::awaitable<std::uint64_t> platform_side::list_declarations()
+boost::asio::awaitable<std::uint64_t> platform_client::list_declarations()
 {
   auto listed = co_await store_.list(declarations, call_deadline());
   core::declarations_listed e{.version = listed.version};
@@ -171,19 +172,20 @@
   co_return listed.version;
 }
 
-boost::asio::awaitable<void> platform_side::watch_declarations()
+boost::asio::awaitable<void> platform_client::watch_declarations()
 {
   unsigned failures = 0;
   std::uint64_t version = 0;
-  mono_time list_due; // long past: lists first
+  mono_time list_due; // in the past, so that the loop starts with a list
   for (;;) {
     bool failed = false;
     try {
       const auto now = std::chrono::steady_clock::now();
       if (now >= list_due) {
         version = co_await list_declarations();
-        // Jittered, so that a fleet that started together does not list together for ever.
-        list_due = now + settings_.relist_period / 2 + jittered(settings_.relist_period);
+        // The interval is jittered so that daemons that started together do not keep listing at
+        // the same time.
+        list_due = now + settings_.relist_period / 2 + random_delay(settings_.relist_period);
       }
       co_await watch_from(version);
       failures = 0;
@@ -194,13 +196,13 @@
     }
     if (failed) {
       ++failures;
-      co_await sleep(backoff(failures));
+      co_await async_sleep(backoff(failures));
     }
   }
 }
 
-// Passes on the changes after `version`, and raises it as they come.
-boost::asio::awaitable<void> platform_side::watch_from(std::uint64_t& version)
+// Reports changes after `version` to the core, and raises `version` with each change.
+boost::asio::awaitable<void> platform_client::watch_from(std::uint64_t& version)
 {
   const auto on_event = [this, &version](platform::watch_event e) {
     version = std::max(version, e.object.version);
@@ -215,8 +217,8 @@
   co_await store_.watch(declarations, version, deadline, on_event);
 }
 
-boost::asio::awaitable<bool> platform_side::fetch(http::socket_address from, std::string target,
-                                                  boost::json::value& out)
+boost::asio::awaitable<bool>
+platform_client::fetch_json(http::socket_address from, std::string target, boost::json::value& out)
 {
   try {
     http::request message;
@@ -230,22 +232,22 @@
   }
 }
 
-boost::asio::awaitable<void> platform_side::poll_instances()
+boost::asio::awaitable<void> platform_client::poll_instances()
 {
   const auto from = http::parse_socket_address(settings_.instance_list);
   unsigned failures = 0;
   for (;;) {
     core::instances_listed e;
-    const bool fetched = co_await fetch(from, "/instances", e.document);
+    const bool fetched = co_await fetch_json(from, "/instances", e.document);
     if (fetched) {
       thread_.post_event(std::move(e));
     }
     failures = fetched ? 0 : failures + 1;
-    co_await sleep(fetched ? settings_.instance_list_period : backoff(failures));
+    co_await async_sleep(fetched ? settings_.instance_list_period : backoff(failures));
   }
 }
 
-boost::asio::awaitable<void> platform_side::poll_notices()
+boost::asio::awaitable<void> platform_client::poll_notices()
 {
   const auto from = http::parse_socket_address(settings_.cloud_api);
   unsigned failures = 0;
@@ -253,37 +255,37 @@
   for (;;) {
     core::notices_received e;
     const bool fetched =
-        co_await fetch(from, "/notices?after=" + std::to_string(after), e.document);
+        co_await fetch_json(from, "/notices?after=" + std::to_string(after), e.document);
     if (fetched) {
-      after = std::max(after, last_sequence(e.document));
+      after = std::max(after, highest_sequence(e.document));
       thread_.post_event(std::move(e));
     }
     failures = fetched ? 0 : failures + 1;
-    co_await sleep(fetched ? settings_.notice_period : backoff(failures));
+    co_await async_sleep(fetched ? settings_.notice_period : backoff(failures));
   }
 }
 
-boost::asio::awaitable<void> platform_side::sleep(std::chrono::milliseconds period)
+boost::asio::awaitable<void> platform_client::async_sleep(std::chrono::milliseconds period)
 {
   boost::asio::steady_timer timer(thread_.context());
   timer.expires_after(period);
   co_await timer.async_wait(boost::asio::use_awaitable);
 }
 
-std::chrono::milliseconds platform_side::backoff(unsigned failures)
+std::chrono::milliseconds platform_client::backoff(unsigned failures)
 {
-  const auto doublings = std::min(failures, backoff_doublings);
+  const auto doublings = std::min(failures, max_backoff_doublings);
   const auto ceiling = std::min(backoff_base * (1 << doublings), backoff_limit);
-  return jittered(ceiling);
+  return random_delay(ceiling);
 }
 
-std::chrono::milliseconds platform_side::jittered(std::chrono::milliseconds longest)
+std::chrono::milliseconds platform_client::random_delay(std::chrono::milliseconds max_delay)
 {
-  std::uniform_int_distribution<std::int64_t> draw(1, longest.count());
+  std::uniform_int_distribution<std::int64_t> draw(1, max_delay.count());
   return std::chrono::milliseconds(draw(random_));
 }
 
-mono_time platform_side::call_deadline() const
+mono_time platform_client::call_deadline() const
 {
   return std::chrono::steady_clock::now() + settings_.platform_call_timeout;
 }
--- a/src/daemon/settings.cc
+++ b/src/daemon/settings.cc
@@ -15,7 +15,7 @@
 namespace wisteriaflow::daemon {
 namespace {
 
-// What a key may hold, with the member that takes it.
+// The rules for values of keys. Each names the member of `settings` that stores the value.
 struct name_rule {
   std::string settings::*member;
   bool required;
@@ -37,24 +37,24 @@
 
 struct integer_rule {
   std::int64_t settings::*member;
-  std::int64_t least;
-  std::int64_t most;
+  std::int64_t min;
+  std::int64_t max;
 };
 
 struct period_rule {
   std::chrono::milliseconds settings::*member;
-  std::int64_t least;
-  std::int64_t most;
+  std::int64_t min;
+  std::int64_t max;
 };
 
-using rule = std::variant<name_rule, address_rule, address_list_rule, choice_rule, integer_rule,
-                          period_rule>;
+using value_rule = std::variant<name_rule, address_rule, address_list_rule, choice_rule,
+                                integer_rule, period_rule>;
 
-struct definition {
+struct setting_definition {
   std::string section;
   std::string key;
-  std::string fallback;
-  rule allowed;
+  std::string default_value;
+  value_rule allowed;
 };
 
 constexpr std::int64_t second = 1'000;
@@ -63,10 +63,10 @@
 constexpr std::int64_t kilobyte = 1'024;
 constexpr std::int64_t megabyte = 1'024 * kilobyte;
 
-const std::vector<definition>& definitions()
+const std::vector<setting_definition>& definitions()
 {
   using s = settings;
-  static const std::vector<definition> all = {
+  static const std::vector<setting_definition> all = {
       {"daemon", "id", "", name_rule{&s::daemon_id, true}},
       {"daemon", "instance_id", "", name_rule{&s::instance_id, false}},
       {"daemon", "availability_zone", "", name_rule{&s::availability_zone, true}},
@@ -153,12 +153,12 @@
   return all;
 }
 
-std::string range_text(std::int64_t least, std::int64_t most)
+std::string describe_range(std::int64_t min, std::int64_t max)
 {
-  return "a whole number from " + std::to_string(least) + " to " + std::to_string(most);
+  return "a whole number from " + std::to_string(min) + " to " + std::to_string(max);
 }
 
-// Says what a rule allows, for errors and the reference.
+// Describes what a rule allows, for error messages and the reference.
 struct describe_rule {
   std::string operator()(const name_rule& r) const
   {
@@ -181,10 +181,10 @@
     }
     return out;
   }
-  std::string operator()(const integer_rule& r) const { return range_text(r.least, r.most); }
+  std::string operator()(const integer_rule& r) const { return describe_range(r.min, r.max); }
   std::string operator()(const period_rule& r) const
   {
-    return range_text(r.least, r.most) + " (milliseconds)";
+    return describe_range(r.min, r.max) + " (milliseconds)";
   }
 };
 
@@ -218,7 +218,7 @@
   return true;
 }
 
-// Stores a value if the rule allows it; returns whether it did.
+// Stores a value in `out`; returns whether the rule allows it.
 struct apply_rule {
   settings& out;
   const std::string& value;
@@ -245,24 +245,24 @@
   }
   bool operator()(const integer_rule& r) const
   {
-    const auto n = number(r.least, r.most);
+    const auto n = number(r.min, r.max);
     out.*r.member = n.value_or(0);
     return n.has_value();
   }
   bool operator()(const period_rule& r) const
   {
-    const auto n = number(r.least, r.most);
+    const auto n = number(r.min, r.max);
     out.*r.member = std::chrono::milliseconds(n.value_or(0));
     return n.has_value();
   }
 
  private:
-  [[nodiscard]] std::optional<std::int64_t> number(std::int64_t least, std::int64_t most) const
+  [[nodiscard]] std::optional<std::int64_t> number(std::int64_t min, std::int64_t max) const
   {
     std::int64_t n = 0;
     const char* last = value.data() + value.size();
     const auto [end, ec] = std::from_chars(value.data(), last, n);
-    if (ec != std::errc{} || end != last || n < least || n > most) {
+    if (ec != std::errc{} || end != last || n < min || n > max) {
       return std::nullopt;
     }
     return n;
@@ -281,7 +281,7 @@
 void reject_unknown(const ini_values& values, const std::string& name)
 {
   for (const auto& [where, value] : values) {
-    const auto is_here = [&where = where](const definition& d) {
+    const auto is_here = [&where = where](const setting_definition& d) {
       return d.section == where.section && d.key == where.key;
     };
     if (std::none_of(definitions().begin(), definitions().end(), is_here)) {
@@ -291,8 +291,8 @@
   }
 }
 
-// Checks that hold between keys.
-void check_together(const settings& s, const std::string& name)
+// Checks constraints between keys.
+void check_consistency(const settings& s, const std::string& name)
 {
   if (s.gone_after <= s.suspect_after) {
     throw settings_error(name + ": section [gossip], key 'gone_after_ms' = '" +
@@ -324,13 +324,13 @@
   settings out;
   for (const auto& d : definitions()) {
     const auto it = values.find({d.section, d.key});
-    const auto& value = it == values.end() ? d.fallback : it->second;
+    const auto& value = it == values.end() ? d.default_value : it->second;
     if (!std::visit(apply_rule{out, value}, d.allowed)) {
       const auto allowed = "allowed: " + std::visit(describe_rule{}, d.allowed);
       throw settings_error(ini_fault(name, {d.section, d.key}, value, allowed));
     }
   }
-  check_together(out, name);
+  check_consistency(out, name);
   return out;
 }
 
@@ -349,7 +349,7 @@
   for (const auto& d : definitions()) {
     out.push_back({.section = d.section,
                    .key = d.key,
-                   .fallback = d.fallback,
+                   .default_value = d.default_value,
                    .allowed = std::visit(describe_rule{}, d.allowed)});
   }
   return out;
--- a/src/platform/label_edits.cc
+++ b/src/platform/label_edits.cc
@@ -5,13 +5,13 @@
 namespace wisteriaflow::platform {
 namespace {
 
-std::optional<std::string> value_in(const objects::label_set& labels, const std::string& key)
+std::optional<std::string> find_value(const objects::label_set& labels, const std::string& key)
 {
   const auto found = labels.find(key);
   return found ? std::optional<std::string>(*found) : std::nullopt;
 }
 
-std::string shown(const std::optional<std::string>& value)
+std::string display_value(const std::optional<std::string>& value)
 {
   return value ? "\"" + *value + "\"" : "absent";
 }
@@ -45,15 +45,15 @@
   return edited;
 }
 
-std::optional<label_conflict> find_conflict(const objects::label_set& read,
-                                            const objects::label_set& found,
+std::optional<label_conflict> find_conflict(const objects::label_set& base,
+                                            const objects::label_set& current,
                                             const std::vector<label_edit>& edits)
 {
   for (const auto& edit : edits) {
-    const auto before = value_in(read, edit.key);
-    const auto now = value_in(found, edit.key);
-    if (now != before && now != edit.value) {
-      return label_conflict{edit.key, before, now, edit.value};
+    const auto base_value = find_value(base, edit.key);
+    const auto current_value = find_value(current, edit.key);
+    if (current_value != base_value && current_value != edit.value) {
+      return label_conflict{edit.key, base_value, current_value, edit.value};
     }
   }
   return std::nullopt;
@@ -61,8 +61,9 @@
 
 std::string to_string(const label_conflict& conflict)
 {
-  return "label " + conflict.key + " was " + shown(conflict.read) + ", is now " +
-         shown(conflict.found) + ", wanted " + shown(conflict.wanted);
+  return "label " + conflict.key + " was " + display_value(conflict.base_value) + ", is now " +
+         display_value(conflict.current_value) + ", wanted " +
+         display_value(conflict.requested_value);
 }
 
 } // namespace wisteriaflow::platform
--- a/src/platform/object_api.cc
+++ b/src/platform/object_api.cc
@@ -26,8 +26,8 @@
 constexpr int status_conflict = 409;
 constexpr int status_gone = 410;
 constexpr int status_too_many_requests = 429;
-constexpr int first_failure_of_client = 400;
-constexpr int first_failure_of_server = 500;
+constexpr int first_client_error = 400;
+constexpr int first_server_error = 500;
 
 std::string target_of(std::string_view plural)
 {
@@ -39,7 +39,7 @@
   return target_of(plural) + "/" + percent_encoded(name);
 }
 
-[[noreturn]] void throw_failure(int status, const std::string& what)
+[[noreturn]] void throw_error_for_status(int status, const std::string& what)
 {
   switch (status) {
   case status_not_found:
@@ -53,13 +53,13 @@
   default:
     break;
   }
-  if (status >= first_failure_of_client && status < first_failure_of_server) {
+  if (status >= first_client_error && status < first_server_error) {
     throw rejected_error(what);
   }
   throw platform_unavailable(what);
 }
 
-// Throws unless `status` is a success. `body` may hold the API's own message.
+// Throws unless `status` is 2xx. A "message" field of the body is added to the error text.
 void require_success(int status, std::string_view target, std::string_view body)
 {
   constexpr int first_success = 200;
@@ -75,10 +75,10 @@
   if (message != nullptr && message->is_string()) {
     what += ", " + std::string(message->get_string());
   }
-  throw_failure(status, what);
+  throw_error_for_status(status, what);
 }
 
-// Whatever the API says that is not its protocol counts as no answer.
+// A response that violates the protocol counts as unanswered: a write may have taken effect.
 [[noreturn]] void throw_malformed(std::string_view text)
 {
   constexpr std::size_t shown = 200;
@@ -150,12 +150,13 @@
   }
   const auto* code = type == "ERROR" ? object.as_object().if_contains("code") : nullptr;
   if (code != nullptr && code->is_int64()) {
-    throw_failure(static_cast<int>(code->get_int64()), "object API: the watch failed");
+    throw_error_for_status(static_cast<int>(code->get_int64()), "object API: the watch failed");
   }
   throw_malformed(json::serialize(line));
 }
 
-// Cuts a watch's bytes into lines. The body of a failure is kept whole.
+// Splits the body of a watch into lines, one event each. The body of an error response is kept
+// unsplit for the error text.
 class watch_reader {
  public:
   explicit watch_reader(std::function<void(watch_event)> on_event) : on_event_(std::move(on_event))
@@ -198,15 +199,15 @@
 
 http::request make_request(std::string method, std::string target, const json::value* body)
 {
-  http::request made{.method = std::move(method), .target = std::move(target)};
+  http::request out{.method = std::move(method), .target = std::move(target)};
   if (body != nullptr) {
-    made.fields.push_back({"Content-Type", "application/json"});
-    made.body = json::serialize(*body);
+    out.fields.push_back({"Content-Type", "application/json"});
+    out.body = json::serialize(*body);
   }
-  return made;
+  return out;
 }
 
-// Sends `message` and returns the answer's JSON.
+// Sends `message` and returns the JSON object of the response.
 boost::asio::awaitable<json::value> exchange_json(http::client& client, http::socket_address to,
                                                   http::request message, mono_time deadline)
 {
@@ -225,9 +226,9 @@
 
 std::string watch_target(std::string_view plural, std::uint64_t version, mono_time deadline)
 {
-  const auto left =
+  const auto remaining =
       std::chrono::floor<std::chrono::seconds>(deadline - std::chrono::steady_clock::now());
-  const auto seconds = std::max<std::int64_t>(left.count(), 1);
+  const auto seconds = std::max<std::int64_t>(remaining.count(), 1);
   return target_of(plural) + "?watch=true&resourceVersion=" + std::to_string(version) +
          "&timeoutSeconds=" + std::to_string(seconds);
 }
@@ -286,12 +287,12 @@
   if (version != 0) {
     body["preconditions"] = {{"resourceVersion", std::to_string(version)}};
   }
-  const json::value whole = std::move(body);
-  auto request = make_request("DELETE", target_of(plural, name), &whole);
+  const json::value request_body = std::move(body);
+  auto request = make_request("DELETE", target_of(plural, name), &request_body);
   try {
     co_await exchange_json(client_, address_, std::move(request), deadline);
   } catch (const not_found_error&) {
-    co_return; // gone already
+    co_return; // deleted already
   }
 }
 
--- a/src/platform/operator_commands.cc
+++ b/src/platform/operator_commands.cc
@@ -16,8 +16,8 @@
 namespace json = boost::json;
 using namespace internal;
 
-// A call that could not be made because another changed the object. Carried out of the catch
-// block, where a coroutine cannot wait.
+// Result of a conditional write; `conflict` is the error text if the object was changed by another
+// writer. Returned as a value because a coroutine cannot await inside a catch block.
 struct write_result {
   std::optional<stored_object> written;
   std::string conflict;
@@ -42,7 +42,7 @@
           .result = result};
 }
 
-std::string last_change_of(const stored_object& object)
+std::string describe_last_change(const stored_object& object)
 {
   const auto who = annotation_of(object.document, objects::changed_by_annotation);
   return object.name + " is at revision " + std::to_string(object.version) + ", changed by " +
@@ -52,7 +52,7 @@
 void require_revision(const stored_object& object, std::optional<std::uint64_t> expected)
 {
   if (expected && object.version != *expected) {
-    throw conflict_error(last_change_of(object) + "; expected was revision " +
+    throw conflict_error(describe_last_change(object) + "; expected was revision " +
                          std::to_string(*expected));
   }
 }
@@ -60,7 +60,7 @@
 [[noreturn]] void throw_label_conflict(const stored_object& now, const label_conflict& conflict)
 {
   throw conflict_error(
-      last_change_of(now) + ": " + to_string(conflict) +
+      describe_last_change(now) + ": " + to_string(conflict) +
       "; to overwrite it, repeat with --expect_revision=" + std::to_string(now.version));
 }
 
@@ -74,7 +74,7 @@
   return documents;
 }
 
-// `live` with the objects of the same names replaced, and the others added.
+// Returns `changed` and those objects of `live` whose names are not among them.
 std::vector<json::value> overlay(const std::vector<json::value>& live,
                                  const std::vector<json::value>& changed)
 {
@@ -88,11 +88,11 @@
   return merged;
 }
 
-void require_same_kind(const json::value& wanted, const stored_object& present)
+void require_same_kind(const json::value& wanted, const stored_object& current)
 {
-  const auto kind = kind_of(present.document);
+  const auto kind = kind_of(current.document);
   if (kind != kind_of(wanted)) {
-    throw invalid_input_error(kind_of(wanted) + " " + present.name + ": a " + kind +
+    throw invalid_input_error(kind_of(wanted) + " " + current.name + ": a " + kind +
                               " has that name; names are unique over all kinds");
   }
 }
@@ -115,8 +115,8 @@
 
 operator_commands::operator_commands(object_api& api, operator_command_options options)
     : options_(std::move(options)),
-      declarations_(api, std::string(objects::declarations_plural), options_.writes),
-      audit_records_(api, std::string(objects::audit_records_plural), options_.writes)
+      declarations_(api, std::string(objects::declarations_plural), options_.retries),
+      audit_records_(api, std::string(objects::audit_records_plural), options_.retries)
 {
 }
 
@@ -146,13 +146,13 @@
 {
   sort_by_reference(documents);
   const auto listed = co_await declarations_.list(options_.deadline);
-  std::map<std::string, stored_object> present;
+  std::map<std::string, stored_object> current;
   for (const auto& item : listed.items) {
-    present.emplace(item.name, item);
+    current.emplace(item.name, item);
   }
   for (const auto& wanted : documents) {
-    const auto it = present.find(name_of(wanted));
-    if (it != present.end()) {
+    const auto it = current.find(name_of(wanted));
+    if (it != current.end()) {
       require_same_kind(wanted, it->second);
       require_revision(it->second, revision_in(wanted));
     }
@@ -161,8 +161,8 @@
   require_no_new_faults(live, overlay(live, documents));
   std::vector<changed_object> results;
   for (auto& wanted : documents) {
-    const auto it = present.find(name_of(wanted));
-    auto read = it == present.end() ? std::nullopt : std::optional(it->second);
+    const auto it = current.find(name_of(wanted));
+    auto read = it == current.end() ? std::nullopt : std::optional(it->second);
     results.push_back(co_await apply_one(std::move(wanted), std::move(read)));
   }
   co_return results;
@@ -172,7 +172,7 @@
                                                              std::optional<stored_object> read)
 {
   if (!read) {
-    stamp(wanted);
+    annotate_author(wanted);
     wanted.at("metadata").as_object().erase("resourceVersion");
     const auto created = co_await declarations_.create(std::move(wanted), options_.deadline);
     co_return describe(created, change_result::created);
@@ -180,22 +180,22 @@
   auto base = *read;
   for (int attempt = 0;; ++attempt) {
     auto merged = merge(wanted, base.document);
-    if (says_the_same(merged, base.document)) {
+    if (is_equivalent(merged, base.document)) {
       const bool same = base.version == read->version;
       co_return describe(base, same ? change_result::unchanged : change_result::changed);
     }
-    stamp(merged);
+    annotate_author(merged);
     auto result =
         co_await try_write([&] { return declarations_.replace(merged, options_.deadline); });
     if (result.written) {
       co_return describe(*result.written, change_result::changed);
     }
-    co_await declarations_.pause(attempt, options_.deadline, result.conflict);
+    co_await declarations_.back_off(attempt, options_.deadline, result.conflict);
     base = co_await declarations_.get(read->name, options_.deadline);
     const bool same_spec =
         has_same_spec(base.document, read->document) || has_same_spec(base.document, wanted);
     if (!same_spec || revision_in(wanted)) {
-      throw conflict_error(last_change_of(base) + " since it was read at revision " +
+      throw conflict_error(describe_last_change(base) + " since it was read at revision " +
                            std::to_string(read->version) + "; look at it and apply again");
     }
     const auto conflict =
@@ -210,28 +210,28 @@
 operator_commands::label(object_reference target, std::vector<label_edit> edits,
                          std::optional<std::uint64_t> expected_revision)
 {
-  const auto read_first = co_await read(target);
-  require_revision(read_first, expected_revision);
-  const auto labels_read = labels_of(read_first.document);
-  auto base = read_first;
+  const auto initial = co_await read(target);
+  require_revision(initial, expected_revision);
+  const auto initial_labels = labels_of(initial.document);
+  auto base = initial;
   for (int attempt = 0;; ++attempt) {
     const auto labels = labels_of(base.document);
     const auto edited = apply_edits(labels, edits);
     if (edited == labels) {
-      const bool same = base.version == read_first.version;
+      const bool same = base.version == initial.version;
       co_return describe(base, same ? change_result::unchanged : change_result::changed);
     }
     auto document = base.document;
     set_labels(document, edited);
-    stamp(document);
+    annotate_author(document);
     auto result =
         co_await try_write([&] { return declarations_.replace(document, options_.deadline); });
     if (result.written) {
       co_return describe(*result.written, change_result::changed);
     }
-    co_await declarations_.pause(attempt, options_.deadline, result.conflict);
+    co_await declarations_.back_off(attempt, options_.deadline, result.conflict);
     base = co_await read(target);
-    if (const auto conflict = find_conflict(labels_read, labels_of(base.document), edits)) {
+    if (const auto conflict = find_conflict(initial_labels, labels_of(base.document), edits)) {
       throw_label_conflict(base, *conflict);
     }
     require_revision(base, expected_revision);
@@ -241,16 +241,17 @@
 asio::awaitable<changed_object>
 operator_commands::remove(object_reference target, std::optional<std::uint64_t> expected_revision)
 {
-  const auto present = co_await read(target);
-  require_revision(present, expected_revision);
+  const auto current = co_await read(target);
+  require_revision(current, expected_revision);
   const auto listed = co_await declarations_.list(options_.deadline);
   const auto live = documents_of(listed);
-  auto rest = live;
-  std::erase_if(rest, [&](const auto& document) { return name_of(document) == target.name; });
-  require_no_new_faults(live, rest);
-  // Who deletes, and why, is written first: the last version is what the audit trail sees.
-  auto document = present.document;
-  stamp(document);
+  auto remaining = live;
+  std::erase_if(remaining, [&](const auto& document) { return name_of(document) == target.name; });
+  require_no_new_faults(live, remaining);
+  // Writes the author and cause before deleting, because the audit trail takes them from the last
+  // version of the object.
+  auto document = current.document;
+  annotate_author(document);
   const auto last = co_await declarations_.replace(std::move(document), options_.deadline);
   co_await declarations_.remove(target.name, last.version, options_.deadline);
   co_return describe(last, change_result::deleted);
@@ -288,7 +289,7 @@
   co_return object;
 }
 
-void operator_commands::stamp(json::value& document) const
+void operator_commands::annotate_author(json::value& document) const
 {
   set_annotation(document, objects::changed_by_annotation, options_.author.name);
   set_annotation(document, objects::cause_annotation, options_.author.cause);
--- a/src/platform/operator_input.cc
+++ b/src/platform/operator_input.cc
@@ -19,7 +19,7 @@
 
 namespace json = boost::json;
 
-// Moves the documents of an array or a List into `documents`, or the one document.
+// Appends a document, or each document of an array or a List, to `documents`.
 void collect(json::value parsed, std::vector<json::value>& documents)
 {
   auto* array = parsed.if_array();
@@ -40,8 +40,9 @@
   return text.find_first_not_of(" \t\r\n") == std::string_view::npos;
 }
 
-// Reads the first JSON value of `text` and removes it. `position` is that of `text` in the whole.
-json::value take_value(std::string_view& text, std::size_t position)
+// Parses the first JSON value of `text` and removes it from `text`. `position` is the offset of
+// `text` in the complete input, for the error message.
+json::value parse_next_value(std::string_view& text, std::size_t position)
 {
   json::stream_parser parser;
   json::error_code ec;
@@ -57,19 +58,19 @@
   return parser.release();
 }
 
-// Lower case, without '_', '-' and a plural's 's'.
-std::string plain_form(std::string_view text)
+// Converts to lower case and removes '_', '-' and a plural's 's'.
+std::string normalize_kind(std::string_view text)
 {
-  std::string plain;
+  std::string normalized;
   for (const char c : text) {
     if (c != '_' && c != '-') {
-      plain += static_cast<char>(std::tolower(static_cast<unsigned char>(c)));
+      normalized += static_cast<char>(std::tolower(static_cast<unsigned char>(c)));
     }
   }
-  if (plain.ends_with('s')) {
-    plain.pop_back();
+  if (normalized.ends_with('s')) {
+    normalized.pop_back();
   }
-  return plain;
+  return normalized;
 }
 
 std::string describe(const std::vector<objects::object_fault>& faults)
@@ -87,9 +88,9 @@
 std::vector<json::value> parse_documents(std::string_view text)
 {
   std::vector<json::value> documents;
-  const auto whole = text.size();
+  const auto total_size = text.size();
   while (!is_blank(text)) {
-    collect(take_value(text, whole - text.size()), documents);
+    collect(parse_next_value(text, total_size - text.size()), documents);
   }
   if (documents.empty()) {
     throw invalid_input_error("no objects: expected a JSON object, an array of them, or a List");
@@ -112,7 +113,7 @@
 {
   std::string allowed;
   for (const auto kind : objects::known_kinds()) {
-    if (plain_form(kind) == plain_form(text)) {
+    if (normalize_kind(kind) == normalize_kind(text)) {
       return std::string(kind);
     }
     allowed += allowed.empty() ? "" : ", ";
@@ -136,10 +137,10 @@
 void require_no_new_faults(const std::vector<json::value>& before,
                            const std::vector<json::value>& after)
 {
-  const auto present = faults_of(before);
+  const auto existing = faults_of(before);
   auto faults = faults_of(after);
   std::erase_if(faults, [&](const auto& fault) {
-    return std::find(present.begin(), present.end(), fault) != present.end();
+    return std::find(existing.begin(), existing.end(), fault) != existing.end();
   });
   if (!faults.empty()) {
     throw invalid_input_error(describe(faults));
@@ -199,22 +200,22 @@
   document.at("metadata").as_object()["labels"] = std::move(encoded);
 }
 
-json::value merge(const json::value& wanted, const json::value& present)
+json::value merge(const json::value& wanted, const json::value& existing)
 {
-  auto merged = present;
+  auto merged = existing;
   const auto* spec = wanted.as_object().if_contains("spec");
   merged.as_object()["kind"] = kind_of(wanted);
   merged.as_object()["spec"] = spec == nullptr ? json::value(json::object{}) : *spec;
-  set_labels(merged, apply_edits(labels_of(present), edits_of(wanted)));
+  set_labels(merged, apply_edits(labels_of(existing), edits_of(wanted)));
   for (const auto& [key, value] : objects::decode_metadata(wanted).annotations) {
     set_annotation(merged, key, value);
   }
   return merged;
 }
 
-bool says_the_same(const json::value& a, const json::value& b)
+bool is_equivalent(const json::value& a, const json::value& b)
 {
-  const auto plain = [](const json::value& document) {
+  const auto normalized = [](const json::value& document) {
     auto metadata = objects::decode_metadata(document);
     metadata.revision = 0;
     for (const auto key : {objects::changed_by_annotation, objects::cause_annotation,
@@ -223,15 +224,15 @@
     }
     return metadata;
   };
-  return kind_of(a) == kind_of(b) && has_same_spec(a, b) && plain(a) == plain(b);
+  return kind_of(a) == kind_of(b) && has_same_spec(a, b) && normalized(a) == normalized(b);
 }
 
 bool has_same_spec(const json::value& a, const json::value& b)
 {
-  const json::value none = json::object{};
+  const json::value empty = json::object{};
   const auto* spec_a = a.as_object().if_contains("spec");
   const auto* spec_b = b.as_object().if_contains("spec");
-  return (spec_a == nullptr ? none : *spec_a) == (spec_b == nullptr ? none : *spec_b);
+  return (spec_a == nullptr ? empty : *spec_a) == (spec_b == nullptr ? empty : *spec_b);
 }
 
 } // namespace internal
--- a/src/platform/operator_queries.cc
+++ b/src/platform/operator_queries.cc
@@ -17,7 +17,7 @@
 constexpr int status_bad_request = 400;
 constexpr int status_not_found = 404;
 
-// Throws unless the answer is a success.
+// Throws unless the status is 200.
 void require_success(const http::response& answer, const std::string& what)
 {
   const auto message = what + ": status " + std::to_string(answer.status) + ", " + answer.body;
@@ -43,7 +43,7 @@
 boost::asio::awaitable<json::value> operator_queries::fleet(mono_time deadline)
 {
   std::string target = "/operator/v1/fleet";
-  co_return co_await ask(std::move(target), deadline);
+  co_return co_await send_query(std::move(target), deadline);
 }
 
 boost::asio::awaitable<json::value> operator_queries::explain(explain_query query,
@@ -52,16 +52,17 @@
   std::string target = "/operator/v1/explain?workspace=" + percent_encoded(query.workspace) +
                        "&labels=" + percent_encoded(query.labels) +
                        "&model=" + percent_encoded(query.model);
-  co_return co_await ask(std::move(target), deadline);
+  co_return co_await send_query(std::move(target), deadline);
 }
 
-boost::asio::awaitable<json::value> operator_queries::ask(std::string target, mono_time deadline)
+boost::asio::awaitable<json::value> operator_queries::send_query(std::string target,
+                                                                 mono_time deadline)
 {
   const auto what = "daemon " + to_string(daemon_) + target;
-  http::request question{.target = std::move(target)};
+  http::request request{.target = std::move(target)};
   http::response answer;
   try {
-    answer = co_await client_.call(daemon_, std::move(question), deadline);
+    answer = co_await client_.call(daemon_, std::move(request), deadline);
   } catch (const http::http_error& e) {
     throw daemon_unavailable(what + ": " + e.what());
   }
--- a/src/platform/percent_encoding.h
+++ b/src/platform/percent_encoding.h
@@ -1,4 +1,4 @@
-// Percent-encoding of what goes into request targets.
+// Percent-encoding of values in request targets.
 
 #ifndef WISTERIAFLOW_SRC_PLATFORM_PERCENT_ENCODING_H_
 #define WISTERIAFLOW_SRC_PLATFORM_PERCENT_ENCODING_H_
@@ -8,7 +8,7 @@
 
 namespace wisteriaflow::platform::internal {
 
-// `text` with every byte but RFC 3986's unreserved characters as "%XX".
+// Returns `text` with every byte except RFC 3986's unreserved characters encoded as "%XX".
 [[nodiscard]] std::string percent_encoded(std::string_view text);
 
 } // namespace wisteriaflow::platform::internal
--- a/src/platform/settled_writes.cc
+++ b/src/platform/settled_writes.cc
@@ -19,29 +19,29 @@
 namespace json = boost::json;
 using objects::write_id_annotation;
 
-// How one call of a write ended. A coroutine cannot wait inside a catch block, so the outcome is
-// carried out of it.
-enum class call_outcome { done, refused, unknown };
+// How one call of a write ended. Returned as a value because a coroutine cannot await inside a
+// catch block.
+enum class call_outcome { done, conflict, unknown };
 
 struct write_attempt {
   call_outcome outcome = call_outcome::unknown;
   std::optional<stored_object> written;
-  std::string why;
+  std::string error_text;
 };
 
 template <typename call> asio::awaitable<write_attempt> attempt_write(call send)
 {
-  write_attempt made;
+  write_attempt attempted;
   try {
-    made.written = co_await send();
-    made.outcome = call_outcome::done;
+    attempted.written = co_await send();
+    attempted.outcome = call_outcome::done;
   } catch (const conflict_error& e) {
-    made.outcome = call_outcome::refused;
-    made.why = e.what();
+    attempted.outcome = call_outcome::conflict;
+    attempted.error_text = e.what();
   } catch (const platform_unavailable& e) {
-    made.why = e.what();
+    attempted.error_text = e.what();
   }
-  co_return made;
+  co_return attempted;
 }
 
 std::string name_of(const json::value& document)
@@ -57,7 +57,8 @@
 
 } // namespace
 
-settled_writes::settled_writes(object_api& api, std::string plural, settled_write_options options)
+retrying_object_client::retrying_object_client(object_api& api, std::string plural,
+                                               object_retry_options options)
     : api_(api), plural_(std::move(plural)), options_(options)
 {
   std::random_device device;
@@ -65,122 +66,127 @@
   random_.seed(seeds);
 }
 
-asio::awaitable<stored_object> settled_writes::get(std::string_view name, mono_time deadline)
+asio::awaitable<stored_object> retrying_object_client::get(std::string_view name,
+                                                           mono_time deadline)
 {
   for (int attempt = 0;; ++attempt) {
-    std::string why;
+    std::string error_text;
     try {
       co_return co_await api_.get(plural_, name, call_deadline(deadline));
     } catch (const platform_unavailable& e) {
-      why = e.what();
+      error_text = e.what();
     }
-    co_await pause(attempt, deadline, std::move(why));
+    co_await back_off(attempt, deadline, std::move(error_text));
   }
 }
 
-asio::awaitable<object_list> settled_writes::list(mono_time deadline)
+asio::awaitable<object_list> retrying_object_client::list(mono_time deadline)
 {
   for (int attempt = 0;; ++attempt) {
-    std::string why;
+    std::string error_text;
     try {
       co_return co_await api_.list(plural_, call_deadline(deadline));
     } catch (const platform_unavailable& e) {
-      why = e.what();
+      error_text = e.what();
     }
-    co_await pause(attempt, deadline, std::move(why));
+    co_await back_off(attempt, deadline, std::move(error_text));
   }
 }
 
-asio::awaitable<stored_object> settled_writes::create(json::value document, mono_time deadline)
+asio::awaitable<stored_object> retrying_object_client::create(json::value document,
+                                                              mono_time deadline)
 {
   const auto id = next_write_id();
   set_annotation(document, write_id_annotation, id);
   const auto name = name_of(document);
-  bool may_have_landed = false;
+  bool may_have_committed = false;
   for (int attempt = 0;; ++attempt) {
-    auto made = co_await attempt_write(
+    auto attempted = co_await attempt_write(
         [&] { return api_.create(plural_, document, call_deadline(deadline)); });
-    if (made.outcome == call_outcome::done) {
-      co_return std::move(*made.written);
+    if (attempted.outcome == call_outcome::done) {
+      co_return std::move(*attempted.written);
     }
-    if (made.outcome == call_outcome::refused && !may_have_landed) {
-      throw conflict_error(made.why);
+    if (attempted.outcome == call_outcome::conflict && !may_have_committed) {
+      throw conflict_error(attempted.error_text);
     }
-    may_have_landed = true;
-    auto present = co_await try_get(name, deadline);
-    if (present && annotation_of(present->document, write_id_annotation) == id) {
-      co_return std::move(*present);
+    may_have_committed = true;
+    auto current = co_await try_get(name, deadline);
+    if (current && annotation_of(current->document, write_id_annotation) == id) {
+      co_return std::move(*current);
     }
-    if (present) {
-      throw conflict_error(name + " was created or changed by another meanwhile");
+    if (current) {
+      throw conflict_error(name + " was created or changed by another writer");
     }
-    co_await pause(attempt, deadline, std::move(made.why));
+    co_await back_off(attempt, deadline, std::move(attempted.error_text));
   }
 }
 
-asio::awaitable<stored_object> settled_writes::replace(json::value document, mono_time deadline)
+asio::awaitable<stored_object> retrying_object_client::replace(json::value document,
+                                                               mono_time deadline)
 {
   const auto id = next_write_id();
   set_annotation(document, write_id_annotation, id);
   const auto name = name_of(document);
   const auto base = version_of(document);
-  bool may_have_landed = false;
+  bool may_have_committed = false;
   for (int attempt = 0;; ++attempt) {
-    auto made = co_await attempt_write(
+    auto attempted = co_await attempt_write(
         [&] { return api_.replace(plural_, document, call_deadline(deadline)); });
-    if (made.outcome == call_outcome::done) {
-      co_return std::move(*made.written);
+    if (attempted.outcome == call_outcome::done) {
+      co_return std::move(*attempted.written);
     }
-    if (made.outcome == call_outcome::refused && !may_have_landed) {
-      throw conflict_error(made.why);
+    if (attempted.outcome == call_outcome::conflict && !may_have_committed) {
+      throw conflict_error(attempted.error_text);
     }
-    may_have_landed = true;
-    auto present = co_await try_get(name, deadline);
-    if (!present) {
+    may_have_committed = true;
+    auto current = co_await try_get(name, deadline);
+    if (!current) {
       throw conflict_error(name + " was deleted meanwhile");
     }
-    if (annotation_of(present->document, write_id_annotation) == id) {
-      co_return std::move(*present);
+    if (annotation_of(current->document, write_id_annotation) == id) {
+      co_return std::move(*current);
     }
-    if (present->version > base) {
-      throw conflict_error(name + " was changed by another meanwhile");
+    if (current->version > base) {
+      throw conflict_error(name + " was changed by another writer");
     }
-    // Not landed, still on its way, or read from a stale copy: only the same write may follow.
-    co_await pause(attempt, deadline, std::move(made.why));
+    // The write was not executed, is still in transit, or the read returned stale data. Only the
+    // same conditional write can be repeated safely.
+    co_await back_off(attempt, deadline, std::move(attempted.error_text));
   }
 }
 
-asio::awaitable<void> settled_writes::remove(std::string name, std::uint64_t version,
-                                             mono_time deadline)
+asio::awaitable<void> retrying_object_client::remove(std::string name, std::uint64_t version,
+                                                     mono_time deadline)
 {
   for (int attempt = 0;; ++attempt) {
-    std::string why;
+    std::string error_text;
     try {
       co_await api_.remove(plural_, name, call_deadline(deadline), version);
       co_return;
     } catch (const platform_unavailable& e) {
-      why = e.what();
+      error_text = e.what();
     }
-    co_await pause(attempt, deadline, std::move(why));
+    co_await back_off(attempt, deadline, std::move(error_text));
   }
 }
 
-asio::awaitable<void> settled_writes::pause(int attempt, mono_time deadline, std::string why)
+asio::awaitable<void> retrying_object_client::back_off(int attempt, mono_time deadline,
+                                                       std::string error_text)
 {
-  constexpr int most_doublings = 10;
-  const auto longest = std::min(options_.first_pause * (1 << std::min(attempt, most_doublings)),
-                                options_.longest_pause);
-  std::uniform_int_distribution<std::int64_t> jitter(longest.count() / 2, longest.count());
+  constexpr int max_doublings = 10;
+  const auto max_delay = std::min(
+      options_.initial_backoff * (1 << std::min(attempt, max_doublings)), options_.max_backoff);
+  std::uniform_int_distribution<std::int64_t> jitter(max_delay.count() / 2, max_delay.count());
   const auto until = std::chrono::steady_clock::now() + std::chrono::milliseconds(jitter(random_));
   if (until >= deadline) {
-    throw platform_unavailable(why);
+    throw platform_unavailable(error_text);
   }
   asio::steady_timer timer(co_await asio::this_coro::executor, until);
   co_await timer.async_wait(asio::use_awaitable);
 }
 
-asio::awaitable<std::optional<stored_object>> settled_writes::try_get(std::string_view name,
-                                                                      mono_time deadline)
+asio::awaitable<std::optional<stored_object>> retrying_object_client::try_get(std::string_view name,
+                                                                              mono_time deadline)
 {
   try {
     co_return co_await get(name, deadline);
@@ -189,12 +195,12 @@
   }
 }
 
-mono_time settled_writes::call_deadline(mono_time deadline) const
+mono_time retrying_object_client::call_deadline(mono_time deadline) const
 {
   return std::min(deadline, std::chrono::steady_clock::now() + options_.call_timeout);
 }
 
-std::string settled_writes::next_write_id()
+std::string retrying_object_client::next_write_id()
 {
   constexpr std::size_t digits = 32;
   std::string id(digits + 1, '\0');
--- a/src/relay/call_relay.cc
+++ b/src/relay/call_relay.cc
@@ -71,8 +71,8 @@
                                          http::response_writer& writer)
 {
   log_.on_refused(received, why);
-  auto out =
-      adapter::refusal(why.status, why.reason, why.retry_at, std::chrono::steady_clock::now());
+  auto out = adapter::make_error_response(why.status, why.reason, why.retry_at,
+                                          std::chrono::steady_clock::now());
   try {
     co_await writer.send(std::move(out));
   } catch (const http::http_error&) {
@@ -343,7 +343,7 @@
     retry_at =
         gateway::retry_time({.now = now, .open_at = why.retry_at, .rank = call.priority}, random_);
   }
-  auto out = adapter::refusal(status, to_string(why.reason), retry_at, now);
+  auto out = adapter::make_error_response(status, to_string(why.reason), retry_at, now);
   co_await writer.send(std::move(out));
 }
 
--- a/src/relay/duties.h
+++ b/src/relay/duties.h
@@ -43,7 +43,7 @@
   scaling_input_for(const gateway::service_definition& s) const;
   // Sends one call to the platform API. Returns the status, or nullopt if there was no answer.
   boost::asio::awaitable<std::optional<int>> call_cloud(http::request message);
-  [[nodiscard]] adapter::duty_stamp stamp() const;
+  [[nodiscard]] adapter::leader_identity stamp() const;
 
   boost::asio::io_context& context_;
   fleet_state& state_;
--- a/src/relay/gateway_daemon.cc
+++ b/src/relay/gateway_daemon.cc
@@ -163,7 +163,7 @@
   asio::awaitable<void> answer_addresses(http::request request, http::response_writer& writer)
   {
     http::response out{.status = http::status::not_found};
-    if (const auto question = adapter::decode_address_question(request)) {
+    if (const auto question = adapter::decode_address_query(request)) {
       const auto addresses = addresses_for(question->zone);
       out = addresses.empty() ? http::response{.status = http::status::unavailable}
                               : adapter::encode_addresses(addresses, address_validity);
--- a/src/relay/rollout_sync.cc
+++ b/src/relay/rollout_sync.cc
@@ -71,7 +71,7 @@
 {
   try {
     const auto page = adapter::decode_changes(body);
-    report_unnamed_objects(state_, adapter::rollout_kind, page.nameless);
+    report_unnamed_objects(state_, adapter::rollout_kind, page.unnamed);
     for (const auto& change : page.changes) {
       if (change.deleted) {
         stored_orders_.erase(change.object.name);
@@ -166,29 +166,29 @@
     return;
   }
   const auto now = state_.fleet_time();
-  gateway::rollout order{.service = decoded.service,
-                         .order =
-                             gateway::order_id(decoded.service, decoded.target, decoded.placed),
-                         .revision = entry.revision,
-                         .target = decoded.target,
-                         .ordered_at = now,
-                         .deadline = now + decoded.time};
+  gateway::rollout order{
+      .service = decoded.service,
+      .order = gateway::order_id(decoded.service, decoded.target, decoded.fingerprint),
+      .revision = entry.revision,
+      .target = decoded.target,
+      .ordered_at = now,
+      .deadline = now + decoded.duration};
   const auto* known = state_.rollouts.find(decoded.service);
   // After a new order for the same version the entry still has the status of the earlier order,
   // until the new one's status is written.
   const bool is_new = known == nullptr || known->order != order.order;
   const bool same_target_as_known = is_new && known != nullptr && known->target == decoded.target;
-  if (same_target_as_known && decoded.told != gateway::rollout_phase::trial) {
-    decoded.told.reset();
+  if (same_target_as_known && decoded.recorded_phase != gateway::rollout_phase::trial) {
+    decoded.recorded_phase.reset();
   }
-  order.phase = decoded.told.value_or(gateway::rollout_phase::trial);
+  order.phase = decoded.recorded_phase.value_or(gateway::rollout_phase::trial);
   stored_orders_[decoded.service] = {
-      .order = order.order, .revision = entry.revision, .written_phase = decoded.told};
+      .order = order.order, .revision = entry.revision, .written_phase = decoded.recorded_phase};
   if (is_new) {
     state_.log.write(daemon::log_level::info, "roll-out ordered",
                      {{"service", order.service},
                       {"version", order.target},
-                      {"for_ms", std::to_string(decoded.time.count())},
+                      {"for_ms", std::to_string(decoded.duration.count())},
                       {"phase", std::string(to_string(order.phase))}});
   }
   state_.apply_rollout(order);
--- a/src/relay/store_list.cc
+++ b/src/relay/store_list.cc
@@ -37,7 +37,7 @@
       // A watch from the earliest revision finds changes made between two pages; the pages of a
       // stale list may have different revisions.
       out.revision = after.empty() ? page.revision : std::min(out.revision, page.revision);
-      report_unnamed_objects(state, kind, page.nameless);
+      report_unnamed_objects(state, kind, page.unnamed);
       for (auto& item : page.items) {
         after = item.name;
         out.items.push_back(std::move(item));
--- a/src/tools/wisteriaflowd.cc
+++ b/src/tools/wisteriaflowd.cc
@@ -36,8 +36,8 @@
 void describe()
 {
   for (const auto& d : wisteriaflow::daemon::describe_settings()) {
-    std::cout << "[" << d.section << "] " << d.key << " = " << d.fallback << "  # " << d.allowed
-              << "\n";
+    std::cout << "[" << d.section << "] " << d.key << " = " << d.default_value << "  # "
+              << d.allowed << "\n";
   }
 }
 
--- a/test/adapter/documents_test.cc
+++ b/test/adapter/documents_test.cc
@@ -29,7 +29,7 @@
 
 class ConfigurationDocumentTest : public testing::Test {
  protected:
-  gateway::configuration read_ = decode_configuration(boost::json::parse(sample));
+  gateway::configuration configuration_ = decode_configuration(boost::json::parse(sample));
 };
 
 TEST_F(ConfigurationDocumentTest, HoldsRoutes)
@@ -45,17 +45,17 @@
                                 .priority = 1,
                                 .max_attempts = 2,
                                 .services = {{"s-1", 90}, {"s-2", 10}}};
-  EXPECT_EQ(read_.routes.at(0), expected);
-  EXPECT_EQ(read_.routes.at(1).kind, gateway::call_kind::non_idempotent);
-  EXPECT_TRUE(read_.routes.at(1).is_public);
+  EXPECT_EQ(configuration_.routes.at(0), expected);
+  EXPECT_EQ(configuration_.routes.at(1).kind, gateway::call_kind::non_idempotent);
+  EXPECT_TRUE(configuration_.routes.at(1).is_public);
 }
 
 TEST_F(ConfigurationDocumentTest, HoldsServices)
 {
-  EXPECT_EQ(read_.services.at(0).engine->batch_places, 64U);
-  EXPECT_EQ(read_.services.at(0).scaling->startup_time, 4s);
-  EXPECT_EQ(read_.services.at(0).scaling->zone_prices.at(availability_zone("z-b")), 0.8);
-  EXPECT_FALSE(read_.services.at(1).scaling);
+  EXPECT_EQ(configuration_.services.at(0).engine->batch_places, 64U);
+  EXPECT_EQ(configuration_.services.at(0).scaling->startup_time, 4s);
+  EXPECT_EQ(configuration_.services.at(0).scaling->zone_prices.at(availability_zone("z-b")), 0.8);
+  EXPECT_FALSE(configuration_.services.at(1).scaling);
 }
 
 TEST_F(ConfigurationDocumentTest, HoldsWorkspaces)
@@ -67,13 +67,13 @@
                                                .burst = 1'000,
                                                .counts_tokens = true,
                                                .default_request_tokens = 200};
-  EXPECT_EQ(read_.workspaces.at(0), expected);
+  EXPECT_EQ(configuration_.workspaces.at(0), expected);
 }
 
 TEST_F(ConfigurationDocumentTest, HoldsVersionAndLimits)
 {
-  EXPECT_EQ(read_.version, 7U);
-  EXPECT_EQ(read_.max_body_bytes, 1'000U);
+  EXPECT_EQ(configuration_.version, 7U);
+  EXPECT_EQ(configuration_.max_body_bytes, 1'000U);
 }
 
 TEST(ConfigurationErrorTest, RejectsADocumentWithoutAVersion)
@@ -82,13 +82,13 @@
                format_error);
 }
 
-TEST(DocumentsTest, TellsAConfigurationsVersionWithoutReadingTheRest)
+TEST(DocumentsTest, ReadsAConfigurationsVersionWithoutReadingTheRest)
 {
   EXPECT_EQ(decode_version(boost::json::parse(R"({"version": 17, "routes": 5})")), 17U);
   EXPECT_THROW(static_cast<void>(decode_version(boost::json::parse("{}"))), format_error);
 }
 
-TEST(ConfigurationErrorTest, TreatsAnUnknownKindWithTheMostCare)
+TEST(ConfigurationErrorTest, TreatsAnUnknownKindAsNonIdempotent)
 {
   const auto read = decode_configuration(
       boost::json::parse(R"({"version": 1, "routes": [{"kind": "new", "service": "s"}]})"));
@@ -120,7 +120,7 @@
                format_error);
 }
 
-TEST(EndpointDocumentTest, HoldsWhenAnEndpointStarted)
+TEST(EndpointDocumentTest, HoldsAnEndpointsStartAsItsIncarnation)
 {
   const stored_object entry{
       .name = "i-1",
@@ -130,8 +130,8 @@
   EXPECT_EQ(decode_endpoint(entry).incarnation, 1'796'228'607'222U);
 }
 
-// One field of a good entry in another form.
-constexpr std::string_view broken_fields[] = {
+// Each replaces one field of a valid entry by an invalid value.
+constexpr std::string_view invalid_fields[] = {
     R"({"service": ""})",
     R"({"service": 5})",
     R"({"service": null})",
@@ -157,9 +157,9 @@
     R"({"born": null})",
 };
 
-class BrokenEndpointTest : public testing::TestWithParam<std::string_view> {};
+class InvalidEndpointTest : public testing::TestWithParam<std::string_view> {};
 
-TEST_P(BrokenEndpointTest, NamesNoEndpoint)
+TEST_P(InvalidEndpointTest, IsRejected)
 {
   auto entry = boost::json::parse(R"({"service": "s-1", "address": "10.128.0.9:8080",
         "zone": "z-a", "slots": 64, "state": "ready", "born": 1796228607222})");
@@ -173,9 +173,9 @@
                format_error);
 }
 
-INSTANTIATE_TEST_SUITE_P(OfAnotherWriter, BrokenEndpointTest, testing::ValuesIn(broken_fields));
+INSTANTIATE_TEST_SUITE_P(FromOtherWriters, InvalidEndpointTest, testing::ValuesIn(invalid_fields));
 
-TEST(EndpointDocumentTest, NamesNoEndpointWithoutOneOfItsFields)
+TEST(EndpointDocumentTest, RejectsAnEndpointWithoutARequiredField)
 {
   const auto whole = boost::json::parse(R"({"service": "s-1", "address": "10.128.0.9:8080",
         "zone": "z-a", "slots": 64, "state": "ready"})");
--- a/test/adapter/duty_calls_test.cc
+++ b/test/adapter/duty_calls_test.cc
@@ -5,31 +5,32 @@
 namespace wisteriaflow::adapter {
 namespace {
 
-const duty_stamp stamp{.holder = daemon_id("d1"), .fencing_number = 12};
+const leader_identity leader{.holder = daemon_id("d1"), .fencing_number = 12};
 
-TEST(DutyCallsTest, CarryTheHolderAndItsNumber)
+TEST(LeaderCallsTest, CarryTheHolderAndFencingNumber)
 {
-  const auto out = usage_call(stamp, 3, {});
+  const auto out = usage_report_call(leader, 3, {});
   EXPECT_EQ(http::find_header(out.fields, "Duty-Holder"), "d1");
   EXPECT_EQ(http::find_header(out.fields, "Fence-Token"), "12");
 }
 
-TEST(DutyCallsTest, ReportCountsByWorkspace)
+TEST(LeaderCallsTest, ReportCountsByWorkspace)
 {
-  EXPECT_EQ(usage_call(stamp, 3, {{workspace_id("hotel"), 5}}).body,
+  EXPECT_EQ(usage_report_call(leader, 3, {{workspace_id("hotel"), 5}}).body,
             R"({"windowId":3,"counts":{"hotel":5}})");
 }
 
-TEST(DutyCallsTest, OrderEndpoints)
+TEST(LeaderCallsTest, OrderEndpoints)
 {
   gateway::endpoint_order order{.group = {.service = "s", .zone = availability_zone("z")},
                                 .wanted = 6};
-  EXPECT_EQ(order_call(stamp, order).body, R"({"service":"s","zone":"z","desired":6})");
+  EXPECT_EQ(endpoint_order_call(leader, order).body, R"({"service":"s","zone":"z","desired":6})");
   order.group.reclaimable = true;
-  EXPECT_EQ(order_call(stamp, order).body, R"({"service":"s","zone":"z","desired":6,"spot":true})");
+  EXPECT_EQ(endpoint_order_call(leader, order).body,
+            R"({"service":"s","zone":"z","desired":6,"spot":true})");
 }
 
-TEST(DutyCallsTest, ReadTheAnswerToAnOrder)
+TEST(LeaderCallsTest, ReadTheAnswerToAnOrder)
 {
   EXPECT_EQ(decode_order_answer(200), gateway::order_result::accepted);
   EXPECT_EQ(decode_order_answer(409), gateway::order_result::sold_out);
--- a/test/adapter/json_items_test.cc
+++ b/test/adapter/json_items_test.cc
@@ -20,7 +20,7 @@
   EXPECT_EQ(found->after, R"(,"more":false})");
 }
 
-TEST(JsonItemsTest, FindsAnItemThatCannotBeRead)
+TEST(JsonItemsTest, FindsMalformedItems)
 {
   const auto found = find_items(R"({"items":[{"a":1},{nonsense "}" +},{"b":2}]})", "items");
   ASSERT_TRUE(found);
@@ -32,7 +32,7 @@
   EXPECT_TRUE(find_items(R"({"items":[]})", "items")->items.empty());
 }
 
-TEST(JsonItemsTest, DoesNotTakeAnInnerArrayForTheOneAskedFor)
+TEST(JsonItemsTest, SkipsAnInnerArrayOfTheSameKey)
 {
   const auto found = find_items(R"({"x":{"items":[1]},"items":[2]})", "items");
   ASSERT_TRUE(found);
--- a/test/adapter/messages_test.cc
+++ b/test/adapter/messages_test.cc
@@ -24,7 +24,7 @@
           .body = "text"};
 }
 
-gateway::attempt_parameters terms()
+gateway::attempt_parameters attempt()
 {
   return {.endpoint = endpoint_id("i-1"),
           .workspace = workspace_id("hotel"),
@@ -32,7 +32,7 @@
           .deadline = start + 700ms};
 }
 
-TEST(CallTest, SaysWhatItIsAbout)
+TEST(CallTest, HoldsTheFieldsOfTheRequest)
 {
   const auto call = decode_call(from_caller(), start);
   EXPECT_EQ(call.path, "/chat/1");
@@ -49,7 +49,7 @@
   EXPECT_EQ(decode_call(from_caller(), start).prompt, parts);
 }
 
-TEST(CallTest, TakesUnreadableFieldsForAbsent)
+TEST(CallTest, TreatsUnreadableFieldsAsAbsent)
 {
   const auto call = decode_call(
       {.fields = {{"Token-Usage", "many"}, {"Prompt-Prefix", "5c1e07a2"}, {"Deadline-Ms", "soon"}}},
@@ -59,9 +59,9 @@
   EXPECT_EQ(call.deadline, std::nullopt);
 }
 
-TEST(AttemptTest, PassesTheCallersWordsOn)
+TEST(AttemptTest, PassesOnTheCallersTargetBodyAndFields)
 {
-  const auto out = encode_attempt(from_caller(), terms(), start);
+  const auto out = encode_attempt(from_caller(), attempt(), start);
   EXPECT_EQ(out.target, "/chat/1?x=2");
   EXPECT_EQ(out.body, "text");
   EXPECT_EQ(http::find_header(out.fields, "Request-Id"), "r1");
@@ -70,42 +70,42 @@
 
 TEST(AttemptTest, AddsTheGatewaysOwnFields)
 {
-  const auto out = encode_attempt(from_caller(), terms(), start);
+  const auto out = encode_attempt(from_caller(), attempt(), start);
   EXPECT_EQ(http::find_header(out.fields, "Deadline-Ms"), "700");
   EXPECT_EQ(http::find_header(out.fields, "Expect-Instance"), "i-1");
   EXPECT_EQ(http::find_header(out.fields, "Tenant"), "hotel");
   EXPECT_EQ(http::find_header(out.fields, "Request-Priority"), "2");
 }
 
-TEST(AttemptTest, KeepsTheKeyAndTheGatewaysFieldsFromCallers)
+TEST(AttemptTest, RemovesTheKeyAndTheGatewaysFieldsOfCallers)
 {
   auto message = from_caller();
   for (const char* name : {"Tenant", "Expect-Instance", "Hold", "Pin-Ms", "Kv-From", "Kv-Backup",
                            "Kv-Fetch", "Expect-Version", "Request-Priority"}) {
     message.fields.push_back({.name = name, .value = "forged"});
   }
-  const auto out = encode_attempt(message, terms(), start);
+  const auto out = encode_attempt(message, attempt(), start);
   for (const auto& field : out.fields) {
     EXPECT_NE(field.value, "forged") << field.name;
     EXPECT_NE(field.value, "k1") << field.name;
   }
 }
 
-TEST(AttemptTest, DropsWhatConcernsTheCallersConnection)
+TEST(AttemptTest, RemovesFieldsOfTheCallersConnection)
 {
   auto message = from_caller();
   message.fields.push_back({.name = "Connection", .value = "keep-alive, X-Mine"});
   message.fields.push_back({.name = "x-mine", .value = "1"});
-  const auto out = encode_attempt(message, terms(), start);
+  const auto out = encode_attempt(message, attempt(), start);
   EXPECT_EQ(http::find_header(out.fields, "X-Mine"), "");
   EXPECT_EQ(http::find_header(out.fields, "Connection"), "");
 }
 
 TEST(AttemptTest, NamesTheEndpointToCopyThePrefixFrom)
 {
-  EXPECT_EQ(http::find_header(encode_attempt(from_caller(), terms(), start).fields, "Kv-Fetch"),
+  EXPECT_EQ(http::find_header(encode_attempt(from_caller(), attempt(), start).fields, "Kv-Fetch"),
             "");
-  auto t = terms();
+  auto t = attempt();
   t.prefix_source = http::socket_address{.host = "10.0.0.9", .port = 81};
   EXPECT_EQ(http::find_header(encode_attempt(from_caller(), t, start).fields, "Kv-Fetch"),
             "10.0.0.9:81");
@@ -115,21 +115,21 @@
 {
   auto message = from_caller();
   message.fields.push_back({.name = "Last-Event-Id", .value = "3"});
-  EXPECT_EQ(http::find_header(encode_attempt(message, terms(), start).fields, "Last-Event-Id"),
+  EXPECT_EQ(http::find_header(encode_attempt(message, attempt(), start).fields, "Last-Event-Id"),
             "3");
-  auto t = terms();
+  auto t = attempt();
   t.resume_after = 9;
   EXPECT_EQ(http::find_header(encode_attempt(message, t, start).fields, "Last-Event-Id"), "9");
 }
 
-TEST(AnswerTest, SaysWhetherTheRequestRan)
+TEST(AnswerTest, HoldsWhetherTheRequestRan)
 {
   EXPECT_TRUE(decode_answer({.status = 503, .fields = {{"Not-Executed", "1"}}}).not_run);
   EXPECT_TRUE(decode_answer({.status = 421}).not_run);
   EXPECT_FALSE(decode_answer({.status = 503}).not_run);
 }
 
-TEST(AnswerTest, SaysWhoseItIs)
+TEST(AnswerTest, HoldsRequestIdSignatureAndStream)
 {
   const auto head = decode_answer({.status = 200,
                                    .fields = {{"Request-Id", "r1"},
@@ -140,66 +140,68 @@
   EXPECT_TRUE(head.is_stream);
 }
 
-TEST(AnswerTest, TellsWhatTheEndpointSaysOfItself)
+TEST(AnswerTest, HoldsTheEndpointsStatement)
 {
   const auto head = decode_answer(
       {.status = 503,
        .fields = {{"Server-Leaving", "1"}, {"Server-Limit", "1.6"}, {"Retry-After", "3"}}});
-  const gateway::endpoint_statement said{.leaving = {{.text = "1", .value = true}},
-                                         .request_rate = {{.text = "1.6", .value = 1.6}},
-                                         .pause = {{.text = "3", .value = 3}}};
-  EXPECT_EQ(head.statement, said);
+  const gateway::endpoint_statement expected{.leaving = {{.text = "1", .value = true}},
+                                             .request_rate = {{.text = "1.6", .value = 1.6}},
+                                             .pause = {{.text = "3", .value = 3}}};
+  EXPECT_EQ(head.statement, expected);
 }
 
 TEST(AnswerTest, KeepsTheTextOfAStatementThatCannotBeRead)
 {
   for (const char* text : {"many", "nan", "inf", "1e400", "1.5 a second", "", "0x10", "+1"}) {
     const auto head = decode_answer({.status = 200, .fields = {{"Server-Limit", text}}});
-    const gateway::parsed_value<double> said{.text = text};
-    EXPECT_EQ(head.statement.request_rate, said) << text;
+    const gateway::parsed_value<double> expected{.text = text};
+    EXPECT_EQ(head.statement.request_rate, expected) << text;
   }
 }
 
-TEST(AnswerTest, AsksForAPauseOnlyWhereItTurnsARequestAway)
+TEST(AnswerTest, HoldsAPauseOnlyWithARefusal)
 {
   const auto head = decode_answer({.status = 200, .fields = {{"Retry-After", "3"}}});
   EXPECT_EQ(head.statement, gateway::endpoint_statement{});
 }
 
-TEST(AnswerTest, TellsThatAnotherEndpointAnswered)
+TEST(AnswerTest, HoldsThatAnotherEndpointAnswered)
 {
   EXPECT_TRUE(decode_answer({.status = 421}).other_endpoint);
   EXPECT_FALSE(decode_answer({.status = 503}).other_endpoint);
 }
 
-TEST(RefusalTest, TellsWhenToComeBackInSeconds)
+TEST(ErrorResponseTest, HoldsTheRetryDelayInSeconds)
 {
-  const auto out = refusal(503, "full", start + 1'250ms, start);
+  const auto out = make_error_response(503, "full", start + 1'250ms, start);
   EXPECT_EQ(http::find_header(out.fields, "Retry-After"), "1.250");
 }
 
-TEST(RefusalTest, TellsNoTimeWithoutOne)
+TEST(ErrorResponseTest, HasNoRetryDelayWithoutARetryTime)
 {
-  EXPECT_EQ(http::find_header(refusal(502, "x", std::nullopt, start).fields, "Retry-After"), "");
+  EXPECT_EQ(
+      http::find_header(make_error_response(502, "x", std::nullopt, start).fields, "Retry-After"),
+      "");
 }
 
-TEST(AddressesTest, AQuestionTellsTheCallersZone)
+TEST(AddressesTest, AQueryHoldsTheCallersZone)
 {
-  const auto asked = decode_address_question({.target = "/resolve?name=x&region=r&zone=z-1"});
-  EXPECT_EQ(asked, (address_question{.zone = availability_zone("z-1")}));
+  const auto query = decode_address_query({.target = "/resolve?name=x&region=r&zone=z-1"});
+  EXPECT_EQ(query, (address_query{.zone = availability_zone("z-1")}));
 }
 
-TEST(AddressesTest, AQuestionWithoutAZoneIsOneAllTheSame)
+TEST(AddressesTest, AQueryMayLackAZone)
 {
-  EXPECT_EQ(decode_address_question({.target = "/resolve?name=x"}), address_question{});
+  EXPECT_EQ(decode_address_query({.target = "/resolve?name=x"}), address_query{});
 }
 
-TEST(AddressesTest, AnotherTargetIsNoQuestion)
+TEST(AddressesTest, AnotherTargetIsNoQuery)
 {
-  EXPECT_FALSE(decode_address_question({.target = "/other?zone=z-1"}));
+  EXPECT_FALSE(decode_address_query({.target = "/other?zone=z-1"}));
 }
 
-TEST(AddressesTest, AnswersWithAddressesAndHowLongTheyHold)
+TEST(AddressesTest, AnswersWithAddressesAndTheirValidity)
 {
   const auto out = encode_addresses({{.host = "10.1.0.14", .port = 8221}}, 2s);
   EXPECT_EQ(out.body, R"({"addresses":["10.1.0.14:8221"],"ttlS":2})");
--- a/test/adapter/store_calls_test.cc
+++ b/test/adapter/store_calls_test.cc
@@ -9,7 +9,7 @@
 
 using namespace std::chrono_literals;
 
-TEST(StoreCallsTest, AsksForListsAndChanges)
+TEST(StoreCallsTest, BuildsListAndWatchCalls)
 {
   EXPECT_EQ(list_call("k", "").target, "/objects/k");
   EXPECT_EQ(list_call("k", "n").target, "/objects/k?after=n");
@@ -46,8 +46,8 @@
   EXPECT_EQ(page.changes[0].object.name, "n");
 }
 
-// Objects as another writer may leave them, among good ones.
-constexpr std::string_view broken_objects[] = {
+// Malformed objects that other writers may store among valid ones.
+constexpr std::string_view unreadable_objects[] = {
     R"({"metadata":{"name":"n","revision":4},"spec":"\u0001\ufffd"})",
     "{\"metadata\":{\"name\":\"n\",\"revision\":4},\"spec\":\"\xff\xfe\"}",
     "{\"metadata\":{\"name\":\"n\",\"revision\":4},\"spec\":\"\x01\x02\"}",
@@ -60,38 +60,39 @@
     R"(null)",
 };
 
-class BrokenObjectTest : public testing::TestWithParam<std::string_view> {};
+class UnreadableObjectTest : public testing::TestWithParam<std::string_view> {};
 
-TEST_P(BrokenObjectTest, LeavesTheOthersOfItsPageReadable)
+TEST_P(UnreadableObjectTest, LeavesTheOthersOfItsPageReadable)
 {
   const auto good = R"({"metadata":{"name":"good","revision":3},"spec":1})";
   const auto page = decode_list(R"({"items":[)" + std::string(GetParam()) + "," + good +
                                 R"(],"hasMore":false,"at":9})");
   EXPECT_EQ(page.items.back(), (stored_object{.name = "good", .revision = 3, .spec = 1}));
-  EXPECT_EQ(page.items.size() + page.nameless, 2U);
+  EXPECT_EQ(page.items.size() + page.unnamed, 2U);
   EXPECT_EQ(page.revision, 9U);
 }
 
-TEST_P(BrokenObjectTest, LeavesTheOtherChangesReadable)
+TEST_P(UnreadableObjectTest, LeavesTheOtherChangesReadable)
 {
   const auto good = R"({"metadata":{"name":"good","revision":3},"spec":1})";
   const auto page = decode_changes(R"({"at":9,"events":[{"object":)" + std::string(GetParam()) +
                                    R"(},{"deleted":true,"object":)" + good + "}]}");
   EXPECT_EQ(page.changes.back().object.name, "good");
   EXPECT_TRUE(page.changes.back().deleted);
-  EXPECT_EQ(page.changes.size() + page.nameless, 2U);
+  EXPECT_EQ(page.changes.size() + page.unnamed, 2U);
 }
 
-INSTANTIATE_TEST_SUITE_P(OfAnotherWriter, BrokenObjectTest, testing::ValuesIn(broken_objects));
+INSTANTIATE_TEST_SUITE_P(FromOtherWriters, UnreadableObjectTest,
+                         testing::ValuesIn(unreadable_objects));
 
-TEST(StoreCallsTest, RejectsAnAnswerThatIsNone)
+TEST(StoreCallsTest, RejectsAMalformedAnswer)
 {
   EXPECT_THROW(static_cast<void>(decode_list("[]")), format_error);
   EXPECT_THROW(static_cast<void>(decode_changes("")), format_error);
   EXPECT_THROW(static_cast<void>(decode_object("{}")), format_error);
 }
 
-TEST(StoreCallsTest, TellsRefusalsFromFailures)
+TEST(StoreCallsTest, DistinguishesRefusalsFromFailures)
 {
   EXPECT_EQ(result_of(429), store_result::refused);
   EXPECT_EQ(result_of(503), store_result::refused);
--- a/test/daemon/log_writer_test.cc
+++ b/test/daemon/log_writer_test.cc
@@ -17,11 +17,11 @@
 namespace wisteriaflow::daemon {
 namespace {
 
-// Far above what any step takes; only one that hangs reaches it.
-constexpr std::chrono::seconds hang_limit{20};
-constexpr int more_lines_than_fit = 20'000;
+// Far longer than any step takes; reached only by a step that hangs.
+constexpr std::chrono::seconds hang_timeout{20};
+constexpr int lines_over_capacity = 20'000;
 
-// Standard output goes to a pipe that is read only when told.
+// Redirects standard output to a pipe that is read only in read_until().
 class redirected_output {
  public:
   redirected_output() : saved_(dup(STDOUT_FILENO))
@@ -41,11 +41,11 @@
   redirected_output(const redirected_output&) = delete;
   redirected_output& operator=(const redirected_output&) = delete;
 
-  // Reads what is there and comes until `wanted` is in it; returns whether it came.
+  // Reads the output until it contains `wanted`; returns false after hang_timeout.
   bool read_until(const std::string& wanted)
   {
     fcntl(ends_[0], F_SETFL, O_NONBLOCK);
-    const auto deadline = std::chrono::steady_clock::now() + hang_limit;
+    const auto deadline = std::chrono::steady_clock::now() + hang_timeout;
     std::string seen;
     std::array<char, 65'536> buf{};
     while (std::chrono::steady_clock::now() < deadline) {
@@ -77,8 +77,8 @@
     }
   }
 
-  // Destroys the writer on a thread of its own; returns whether that ended.
-  bool ends()
+  // Destroys the writer on a separate thread; returns false if that takes longer than hang_timeout.
+  bool destroy_writer()
   {
     std::promise<void> done;
     auto ended = done.get_future();
@@ -86,7 +86,7 @@
       writer.reset();
       done.set_value();
     }).detach();
-    return ended.wait_for(hang_limit) == std::future_status::ready;
+    return ended.wait_for(hang_timeout) == std::future_status::ready;
   }
 
   redirected_output output_; // outlives the writer
@@ -99,35 +99,35 @@
   EXPECT_TRUE(output_.read_until("number"));
 }
 
-TEST_F(LogWriterTest, WritesWhatIsQueuedBeforeItEnds)
+TEST_F(LogWriterTest, WritesQueuedLinesBeforeShutdown)
 {
   write_lines(2);
-  EXPECT_TRUE(ends());
+  EXPECT_TRUE(destroy_writer());
   EXPECT_TRUE(output_.read_until("\"1\""));
 }
 
-TEST_F(LogWriterTest, TakesLinesWhileNobodyReadsTheOutput)
+TEST_F(LogWriterTest, NeverBlocksWhileNobodyReadsTheOutput)
 {
-  auto written = std::async(std::launch::async, [this] { write_lines(more_lines_than_fit); });
-  EXPECT_EQ(written.wait_for(hang_limit), std::future_status::ready);
+  auto written = std::async(std::launch::async, [this] { write_lines(lines_over_capacity); });
+  EXPECT_EQ(written.wait_for(hang_timeout), std::future_status::ready);
 }
 
 TEST_F(LogWriterTest, CountsTheLinesThatItDropped)
 {
-  write_lines(more_lines_than_fit);
+  write_lines(lines_over_capacity);
   EXPECT_GT(writer_->dropped(), 0U);
 }
 
-TEST_F(LogWriterTest, SaysHowManyLinesWereDroppedOnceTheOutputIsReadAgain)
+TEST_F(LogWriterTest, ReportsDroppedLinesOnceTheOutputIsReadAgain)
 {
-  write_lines(more_lines_than_fit);
+  write_lines(lines_over_capacity);
   EXPECT_TRUE(output_.read_until("log lines dropped"));
 }
 
-TEST_F(LogWriterTest, EndsWhileNobodyReadsTheOutput)
+TEST_F(LogWriterTest, ShutsDownWhileNobodyReadsTheOutput)
 {
-  write_lines(more_lines_than_fit);
-  EXPECT_TRUE(ends());
+  write_lines(lines_over_capacity);
+  EXPECT_TRUE(destroy_writer());
 }
 
 } // namespace
--- a/test/daemon/settings_test.cc
+++ b/test/daemon/settings_test.cc
@@ -8,8 +8,8 @@
 namespace wisteriaflow::daemon {
 namespace {
 
-constexpr const char* least = "[daemon]\nid=d1\navailability_zone=a\n"
-                              "[platform]\nobject_api=127.0.0.1:1\ninstance_list=127.0.0.1:2\n";
+constexpr const char* minimal = "[daemon]\nid=d1\navailability_zone=a\n"
+                                "[platform]\nobject_api=127.0.0.1:1\ninstance_list=127.0.0.1:2\n";
 
 settings parse(const std::string& text)
 {
@@ -17,7 +17,7 @@
   return parse_settings(in, "test.ini");
 }
 
-// The message of the error that parsing `text` throws; empty if it throws none.
+// Returns the message of the error that parsing `text` throws; empty if it succeeds.
 std::string error_of(const std::string& text)
 {
   try {
@@ -30,12 +30,12 @@
 
 TEST(SettingsTest, FillsInDefaults)
 {
-  EXPECT_EQ(parse(least).claim_shards, 32);
+  EXPECT_EQ(parse(minimal).claim_shards, 32);
 }
 
 TEST(SettingsTest, ErrorNamesFileSectionKeyValueAndRange)
 {
-  const auto message = error_of(std::string(least) + "[claims]\nshards=0\n");
+  const auto message = error_of(std::string(minimal) + "[claims]\nshards=0\n");
   EXPECT_EQ(
       message,
       "test.ini: section [claims], key 'shards' = '0': allowed: a whole number from 1 to 999");
@@ -43,7 +43,7 @@
 
 TEST(SettingsTest, RejectsAnUnknownKey)
 {
-  const auto message = error_of(std::string(least) + "[claims]\nshard=4\n");
+  const auto message = error_of(std::string(minimal) + "[claims]\nshard=4\n");
   EXPECT_NE(message.find("key 'shard' = '4': unknown key"), std::string::npos) << message;
 }
 
@@ -55,31 +55,31 @@
 
 TEST(SettingsTest, RejectsATrailingUnit)
 {
-  const auto message = error_of(std::string(least) + "[drain]\ngrace_ms=20s\n");
+  const auto message = error_of(std::string(minimal) + "[drain]\ngrace_ms=20s\n");
   EXPECT_NE(message.find("key 'grace_ms' = '20s'"), std::string::npos) << message;
 }
 
 TEST(SettingsTest, RejectsAHostName)
 {
-  const auto message = error_of(std::string(least) + "[callers]\nlisten=localhost:80\n");
+  const auto message = error_of(std::string(minimal) + "[callers]\nlisten=localhost:80\n");
   EXPECT_NE(message.find("an IP number and port"), std::string::npos) << message;
 }
 
-TEST(SettingsTest, ChecksKeysAgainstEachOther)
+TEST(SettingsTest, ChecksConsistencyBetweenKeys)
 {
-  const auto message = error_of(std::string(least) + "[gossip]\ngone_after_ms=500\n");
+  const auto message = error_of(std::string(minimal) + "[gossip]\ngone_after_ms=500\n");
   EXPECT_NE(message.find("more than suspect_after_ms"), std::string::npos) << message;
 }
 
 TEST(SettingsTest, CapacityNeedsACloudApi)
 {
-  const auto message = error_of(std::string(least) + "[capacity]\nenabled=true\n");
+  const auto message = error_of(std::string(minimal) + "[capacity]\nenabled=true\n");
   EXPECT_NE(message.find("cloud_api set in section [platform]"), std::string::npos) << message;
 }
 
 TEST(SettingsTest, ALeaseIsRenewedWellWithinItsDuration)
 {
-  const auto message = error_of(std::string(least) +
+  const auto message = error_of(std::string(minimal) +
                                 "[capacity]\nlease_duration_ms=1000\nlease_renew_period_ms=600\n");
   EXPECT_NE(message.find("at most half of lease_duration_ms"), std::string::npos) << message;
 }
--- a/test/platform/label_edits_test.cc
+++ b/test/platform/label_edits_test.cc
@@ -6,16 +6,16 @@
 namespace wisteriaflow::platform {
 namespace {
 
-const objects::label_set read{{"tier", "gold"}, {"zone", "a"}};
+const objects::label_set base{{"tier", "gold"}, {"zone", "a"}};
 
-TEST(LabelEditsTest, ReadsSettingAndRemoving)
+TEST(LabelEditsTest, ParsesSettingAndRemoving)
 {
   EXPECT_EQ(parse_label_edit("tier=gold"), (label_edit{"tier", "gold"}));
   EXPECT_EQ(parse_label_edit("tier="), (label_edit{"tier", ""}));
   EXPECT_EQ(parse_label_edit("tier-"), (label_edit{"tier", std::nullopt}));
 }
 
-TEST(LabelEditsTest, RefusesWhatIsNoEdit)
+TEST(LabelEditsTest, RejectsMalformedEdits)
 {
   for (const auto* text : {"", "-", "tier", "=gold", "tier=a b", "ti er-"}) {
     EXPECT_THROW((void)parse_label_edit(text), invalid_input_error) << text;
@@ -24,26 +24,26 @@
 
 TEST(LabelEditsTest, AppliesEditsInTheirOrder)
 {
-  const auto edited = apply_edits(read, {{"tier", std::nullopt}, {"new", "1"}, {"new", "2"}});
+  const auto edited = apply_edits(base, {{"tier", std::nullopt}, {"new", "1"}, {"new", "2"}});
   EXPECT_EQ(edited, (objects::label_set{{"zone", "a"}, {"new", "2"}}));
 }
 
 TEST(LabelEditsTest, EditsOfDifferentKeysDoNotConflict)
 {
-  EXPECT_FALSE(find_conflict(read, read.with("zone", "b"), {{"tier", "silver"}}));
+  EXPECT_FALSE(find_conflict(base, base.with("zone", "b"), {{"tier", "silver"}}));
 }
 
 TEST(LabelEditsTest, EditsOfOneKeyConflictUnlessTheyAgree)
 {
-  const auto found = read.with("tier", "silver");
-  const auto conflict = find_conflict(read, found, {{"tier", "bronze"}});
+  const auto found = base.with("tier", "silver");
+  const auto conflict = find_conflict(base, found, {{"tier", "bronze"}});
   EXPECT_EQ(conflict, (label_conflict{"tier", "gold", "silver", "bronze"}));
-  EXPECT_FALSE(find_conflict(read, found, {{"tier", "silver"}}));
+  EXPECT_FALSE(find_conflict(base, found, {{"tier", "silver"}}));
 }
 
 TEST(LabelEditsTest, ARemovalByAnotherConflicts)
 {
-  EXPECT_TRUE(find_conflict(read, read.without("tier"), {{"tier", "bronze"}}));
+  EXPECT_TRUE(find_conflict(base, base.without("tier"), {{"tier", "bronze"}}));
 }
 
 } // namespace
--- a/test/platform/object_api_test.cc
+++ b/test/platform/object_api_test.cc
@@ -29,14 +29,14 @@
                conflict_error);
 }
 
-TEST_F(ObjectApiTest, TellsATakenNameAndAMissingOne)
+TEST_F(ObjectApiTest, DistinguishesATakenNameFromAMissingOne)
 {
   given_workspace("w");
   EXPECT_THROW(given_workspace("w"), conflict_error);
   EXPECT_THROW(stored("none"), not_found_error);
 }
 
-TEST_F(ObjectApiTest, DeletesOnlyTheVersionNamedAndIsContentIfGone)
+TEST_F(ObjectApiTest, DeletesOnlyTheVersionNamedAndSucceedsIfGone)
 {
   const auto version = given_workspace("w");
   EXPECT_THROW(await(api_.remove("declarations", "w", fakes::far_deadline(), version + 1)),
@@ -80,7 +80,7 @@
   EXPECT_EQ(events[2].object.version, second + 1);
 }
 
-TEST_F(ObjectApiTest, AWatchFromAForgottenVersionHasExpired)
+TEST_F(ObjectApiTest, AWatchFromACompactedVersionHasExpired)
 {
   given_workspace("a");
   fake_.forget_history();
--- a/test/platform/operator_fixture.h
+++ b/test/platform/operator_fixture.h
@@ -1,4 +1,4 @@
-// A fake object API with clients of it, for tests of this package.
+// Test fixture with a fake object API and clients of it.
 
 #ifndef WISTERIAFLOW_TEST_PLATFORM_OPERATOR_FIXTURE_H_
 #define WISTERIAFLOW_TEST_PLATFORM_OPERATOR_FIXTURE_H_
@@ -20,11 +20,11 @@
 
 class object_api_fixture : public testing::Test {
  protected:
-  // Runs `task` to its end and returns its result.
+  // Runs the event loop until `task` ends, and returns its result.
   template <typename result> result await(boost::asio::awaitable<result> task)
   {
     std::optional<result> out;
-    fakes::run(context_, keep(std::move(task), out));
+    fakes::run(context_, store_result(std::move(task), out));
     return std::move(*out);
   }
 
@@ -42,7 +42,7 @@
         {.author = {.name = std::move(who), .cause = "test"}, .deadline = fakes::far_deadline()}};
   }
 
-  // Creates a workspace past the commands_, and returns its version.
+  // Creates a workspace directly in the object API and returns its version.
   std::uint64_t given_workspace(const std::string& name, std::string_view labels = "{}")
   {
     auto document = make_document("Workspace", name, boost::json::object{});
@@ -63,8 +63,8 @@
 
  private:
   template <typename result>
-  static boost::asio::awaitable<void> keep(boost::asio::awaitable<result> task,
-                                           std::optional<result>& out)
+  static boost::asio::awaitable<void> store_result(boost::asio::awaitable<result> task,
+                                                   std::optional<result>& out)
   {
     out = co_await std::move(task);
   }
--- a/test/platform/wisteriaflowctl_test.cc
+++ b/test/platform/wisteriaflowctl_test.cc
@@ -1,4 +1,4 @@
-// Runs the program itself: its exit codes and where its output goes.
+// Runs the wisteriaflowctl binary and checks its exit codes and output streams.
 
 #include <sys/wait.h>
 
@@ -15,18 +15,18 @@
 namespace wisteriaflow::platform {
 namespace {
 
-struct ended_program {
+struct program_result {
   int exit_code = -1;
   std::string out;
 };
 
-// Runs the tool by the shell, with standard input and error as named.
-ended_program run_tool(const std::string& arguments, const std::string& input = "",
-                       const std::string& redirection = "2>/dev/null")
+// Runs the tool in a shell, with `input` on standard input and `redirection` of its outputs.
+program_result run_tool(const std::string& arguments, const std::string& input = "",
+                        const std::string& redirection = "2>/dev/null")
 {
   const auto line = "printf '%s' '" + input + "' | " + std::string(WISTERIAFLOW_BINARY_DIR) +
                     "/wisteriaflowctl " + arguments + " " + redirection;
-  ended_program ended;
+  program_result ended;
   FILE* const pipe = popen(line.c_str(), "r");
   std::array<char, 4096> buf{};
   while (const auto n = std::fread(buf.data(), 1, buf.size(), pipe)) {
@@ -37,7 +37,7 @@
   return ended;
 }
 
-// The fake runs on a thread of its own while the program runs.
+// The fake object API runs on a separate thread while the program runs.
 class wisteriaflowctl_test : public object_api_fixture {
  protected:
   wisteriaflowctl_test() : serving_([this] { context_.run(); }) {}
@@ -51,7 +51,7 @@
     serving_.join();
   }
 
-  ended_program run(const std::string& arguments, const std::string& input = "")
+  program_result run(const std::string& arguments, const std::string& input = "")
   {
     return run_tool("--platform=" + platform_ + " --as=mere " + arguments, input);
   }
@@ -67,7 +67,7 @@
 const std::string one_workspace = R"({"kind":"Workspace","metadata":{"name":"w"}})";
 
 // An address where nothing listens.
-const std::string nowhere = "127.0.0.1:1";
+const std::string unreachable_address = "127.0.0.1:1";
 
 TEST_F(WisteriaflowctlTest, AppliesLabelsGetsAndDeletes)
 {
@@ -80,14 +80,14 @@
   EXPECT_EQ(run("delete workspace w").exit_code, 0);
 }
 
-TEST_F(WisteriaflowctlTest, TellsNotFoundAndConflictApart)
+TEST_F(WisteriaflowctlTest, DistinguishesNotFoundFromConflict)
 {
   EXPECT_EQ(run("get pool none").exit_code, 3);
   EXPECT_EQ(run("apply --file=-", one_workspace).exit_code, 0);
   EXPECT_EQ(run("label workspace w a=1 --expect_revision=99").exit_code, 4);
 }
 
-TEST(WisteriaflowctlOfflineTest, EndsWithTheCodeOfTheFault)
+TEST(WisteriaflowctlOfflineTest, ExitsWithTheCodeOfTheError)
 {
   const auto code_of = [](const std::string& arguments, const std::string& input = "") {
     return run_tool("--timeout_ms=200 " + arguments, input).exit_code;
@@ -98,8 +98,8 @@
   EXPECT_EQ(code_of("--no_such_flag"), 1);
   EXPECT_EQ(code_of("get teapot"), 2);
   EXPECT_EQ(code_of("validate --file=-", "{"), 2);
-  EXPECT_EQ(code_of("get --platform=" + nowhere), 5);
-  EXPECT_EQ(code_of("fleet --daemon=" + nowhere), 6);
+  EXPECT_EQ(code_of("get --platform=" + unreachable_address), 5);
+  EXPECT_EQ(code_of("fleet --daemon=" + unreachable_address), 6);
 }
 
 TEST(WisteriaflowctlOfflineTest, ValidatesWithoutAPlatform)
