--- a/include/wisteriaflow/base/deflate.h
+++ b/include/wisteriaflow/base/deflate.h
@@ -1,7 +1,8 @@
-// Compresses texts of a few kilobytes by zlib, as daemons send them to each other again and again.
+// zlib compression for texts of a few kilobytes, such as the reports that daemons periodically send
+// to each other.
 //
-//   const auto packed = deflate(report);
-//   const auto report = inflate(packed, 1 << 20);
+//   const auto compressed = deflate(report);
+//   const auto report = inflate(compressed, 1 << 20);
 
 #ifndef WISTERIAFLOW_BASE_DEFLATE_H_
 #define WISTERIAFLOW_BASE_DEFLATE_H_
@@ -14,17 +15,19 @@
 
 namespace wisteriaflow {
 
-// Bytes that are not a whole deflated text, or one over the limit.
+// Thrown for input that is not a complete zlib stream, for output over the size limit, and for
+// other failures of zlib, such as a lack of memory.
 class deflate_error : public error {
  public:
   using error::error;
 };
 
-// `text`, compressed. Throws deflate_error if there is no memory for it.
+// Returns `text` in the zlib format. Throws deflate_error if zlib cannot allocate memory.
 [[nodiscard]] std::string deflate(std::string_view text);
 
-// The text again; at most `limit` bytes of it. Throws deflate_error.
-[[nodiscard]] std::string inflate(std::string_view packed, std::size_t limit);
+// Returns the decompressed text. Throws deflate_error if `compressed` is malformed or truncated, or
+// if the text is longer than `limit` bytes.
+[[nodiscard]] std::string inflate(std::string_view compressed, std::size_t limit);
 
 } // namespace wisteriaflow
 
--- a/include/wisteriaflow/base/errors.h
+++ b/include/wisteriaflow/base/errors.h
@@ -1,5 +1,5 @@
-// The root of the project's exceptions. Each package derives its own and translates those of the
-// packages below it.
+// Base class of the project's exceptions. Each package derives its own exceptions from it and
+// translates those of the packages that it uses.
 
 #ifndef WISTERIAFLOW_BASE_ERRORS_H_
 #define WISTERIAFLOW_BASE_ERRORS_H_
--- a/include/wisteriaflow/base/hash.h
+++ b/include/wisteriaflow/base/hash.h
@@ -1,5 +1,5 @@
-// Stable hashes (xxHash). The values are the same in every process and version, so they may decide
-// ownership and be stored.
+// Stable hashes (xxHash). The values are the same in every process and version, so they may be
+// stored and may determine which daemon owns a key.
 
 #ifndef WISTERIAFLOW_BASE_HASH_H_
 #define WISTERIAFLOW_BASE_HASH_H_
@@ -13,7 +13,7 @@
 
 namespace wisteriaflow {
 
-// A 128-bit hash. Used where a collision would merge two requests.
+// A 128-bit hash, for keys where a collision would treat two requests as one.
 struct hash128 {
   std::uint64_t high = 0;
   std::uint64_t low = 0;
@@ -22,17 +22,18 @@
                           const hash128&) = default; // NOLINT(modernize-use-nullptr)
 };
 
-// Hash of `text`, different for each `seed`.
+// Returns the 64-bit hash of `text`; each `seed` gives a different hash function.
 [[nodiscard]] std::uint64_t hash64_of(std::string_view text, std::uint64_t seed = 0);
 
-// 128-bit hash of `text`.
+// Returns the 128-bit hash of `text`.
 [[nodiscard]] hash128 hash128_of(std::string_view text);
 
-// Rendezvous (highest random weight) score of `member` for `key`: the member with the highest
-// score owns the key, and losing a member moves only that member's keys.
+// Returns the rendezvous (highest random weight) score of `member` for `key`. The member with the
+// highest score owns the key, so the removal of a member moves only the keys of that member.
 [[nodiscard]] std::uint64_t rendezvous_score(std::uint64_t key, std::string_view member);
 
-// How many of `others` own `key` before `self` does.
+// Returns how many of `others` have a higher score than `self` for `key`; 0 means that `self` owns
+// the key.
 template <typename ids, typename id>
 [[nodiscard]] std::size_t rendezvous_rank(std::uint64_t key, const id& self, const ids& others)
 {
--- a/include/wisteriaflow/base/ids.h
+++ b/include/wisteriaflow/base/ids.h
@@ -1,4 +1,5 @@
-// Names of things, each with a type of its own so that one cannot be passed for another.
+// Identifier types. Each kind of identifier is a distinct type, so the compiler rejects, for
+// example, an endpoint_id where an instance_id is required.
 
 #ifndef WISTERIAFLOW_BASE_IDS_H_
 #define WISTERIAFLOW_BASE_IDS_H_
@@ -10,7 +11,8 @@
 
 namespace wisteriaflow {
 
-// An immutable string that names one kind of thing; `tag` only tells the kinds apart.
+// An identifier string that is never modified after construction. `tag` is an incomplete type that
+// makes each kind of identifier a type of its own.
 template <typename tag> class strong_id {
  public:
   strong_id() = default;
--- a/include/wisteriaflow/base/ini_file.h
+++ b/include/wisteriaflow/base/ini_file.h
@@ -1,5 +1,5 @@
-// Reads INI files into values by section and key, and words the errors of the settings read from
-// them.
+// Reads INI files into a map from section and key to value, and formats error messages about the
+// settings in them.
 //
 //   const auto values = read_ini(in, "daemon.ini");
 //   const auto it = values.find({"daemon", "id"});
@@ -16,13 +16,14 @@
 
 namespace wisteriaflow {
 
-// A file that is not INI, or a key outside any section. The text names file, line or key.
+// Thrown for malformed INI syntax and for a key outside any section. The message contains the file
+// and the line or the key.
 class ini_error : public error {
  public:
   using error::error;
 };
 
-// A key of an INI file.
+// A key of an INI file together with its section.
 struct ini_key {
   std::string section;
   std::string key;
@@ -33,12 +34,12 @@
 
 using ini_values = std::map<ini_key, std::string>;
 
-// The values of a file; `name` is its name in errors. Throws ini_error.
+// Reads the values of a file; error messages call the file `name`. Throws ini_error.
 [[nodiscard]] ini_values read_ini(std::istream& in, const std::string& name);
 
-// The text of an error: file, section, key, value and what is wrong with it.
-[[nodiscard]] std::string ini_fault(const std::string& file, const ini_key& where,
-                                    const std::string& value, const std::string& problem);
+// Returns an error message with the file, section, key and value, and the `problem` with the value.
+[[nodiscard]] std::string ini_error_message(const std::string& file, const ini_key& key,
+                                            const std::string& value, const std::string& problem);
 
 } // namespace wisteriaflow
 
--- a/include/wisteriaflow/base/text.h
+++ b/include/wisteriaflow/base/text.h
@@ -1,5 +1,5 @@
-// Small helpers for header fields and lists, over std::string_view. Abseil's own string_view is
-// another type here, so its functions do not take ours.
+// String helpers for header fields and lists, based on std::string_view. In this build Abseil's
+// string_view is a different type, so Abseil's string functions do not accept std::string_view.
 
 #ifndef WISTERIAFLOW_BASE_TEXT_H_
 #define WISTERIAFLOW_BASE_TEXT_H_
@@ -12,19 +12,21 @@
 
 namespace wisteriaflow {
 
-// `text` with ASCII letters in lower case.
+// Returns `text` with ASCII letters converted to lower case.
 [[nodiscard]] std::string to_lower(std::string_view text);
 
-// Whether `a` and `b` are equal but for the case of ASCII letters.
+// Returns whether `a` and `b` are equal, ignoring the case of ASCII letters.
 [[nodiscard]] bool equals_ignoring_case(std::string_view a, std::string_view b);
 
-// `text` without white space at either end.
+// Returns `text` without leading and trailing white space.
 [[nodiscard]] std::string_view trim(std::string_view text);
 
-// The parts of `text` between separators, trimmed; empty parts are left out.
+// Splits `text` at each `separator` and trims the parts; empty parts are omitted. The parts refer
+// to the memory of `text`.
 [[nodiscard]] std::vector<std::string_view> split(std::string_view text, char separator);
 
-// The whole of `text` as a number, or nothing.
+// Parses `text` as a number. Returns nullopt if it is malformed, out of range or has trailing
+// characters.
 template <typename number> [[nodiscard]] std::optional<number> parse_number(std::string_view text)
 {
   number out{};
--- a/include/wisteriaflow/daemon/endpoint_side.h
+++ b/include/wisteriaflow/daemon/endpoint_side.h
@@ -34,10 +34,11 @@
   void handle_action(const core::poll_cache_events& a);
   void handle_action(const core::close_idle_connections& a);
 
-  boost::asio::awaitable<void> run(core::start_exchange a, std::shared_ptr<http::exchange> handle);
+  boost::asio::awaitable<void> run(core::start_exchange a,
+                                   std::shared_ptr<http::cancel_handle> handle);
   boost::asio::awaitable<void> run_unary(core::start_exchange a);
   boost::asio::awaitable<void> run_streamed(core::start_exchange a,
-                                            std::shared_ptr<http::exchange> handle);
+                                            std::shared_ptr<http::cancel_handle> handle);
   boost::asio::awaitable<void> poll(core::poll_load a);
   boost::asio::awaitable<void> poll(core::poll_cache_events a);
   boost::asio::awaitable<bool> fetch_json(http::socket_address from, std::string target,
@@ -46,7 +47,7 @@
 
   io_thread<core::endpoint_action> thread_;
   http::client client_;
-  std::map<core::exchange_number, std::shared_ptr<http::exchange>> running_exchanges_;
+  std::map<core::exchange_number, std::shared_ptr<http::cancel_handle>> running_exchanges_;
 };
 
 } // namespace wisteriaflow::daemon
--- a/include/wisteriaflow/http/client.h
+++ b/include/wisteriaflow/http/client.h
@@ -1,5 +1,9 @@
-// An HTTP/1.1 client for one io_context, over Boost.Beast, with a pool of idle connections for
-// each address.
+// An HTTP/1.1 client on one io_context, based on Boost.Beast, with a pool of idle connections per
+// address.
+//
+//   http::client client(context);
+//   http::request message{.target = "/health"};
+//   const auto answer = co_await client.call(address, std::move(message), deadline);
 
 #ifndef WISTERIAFLOW_HTTP_CLIENT_H_
 #define WISTERIAFLOW_HTTP_CLIENT_H_
@@ -19,40 +23,42 @@
 
 namespace wisteriaflow::http {
 
-// Limits of a client.
+// Limits and retry behaviour of a client.
 struct client_options {
   std::size_t idle_connections_per_address = 8;
-  std::size_t body_limit = std::size_t{8} * 1024 * 1024; // bytes of a whole response
-  std::chrono::milliseconds idle_timeout{20'000};        // shorter than servers keep a connection
-  // Opening a connection may take this long; 0: up to the call's deadline.
+  std::size_t body_limit = std::size_t{8} * 1024 * 1024; // bytes of a response of call()
+  std::chrono::milliseconds idle_timeout{20'000};        // shorter than the idle timeout of servers
+  // Limit for opening a connection; 0: the call's deadline alone.
   std::chrono::milliseconds connect_timeout{0};
-  // A connection is given up when what was sent stays unacknowledged for this long, as when the
-  // peer has lost power; 0: the kernel's own limit, minutes.
+  // Closes a connection when sent data stays unacknowledged for this long, for example because the
+  // peer lost power; 0: the kernel's default, which is minutes.
   std::chrono::milliseconds unacknowledged_timeout{0};
-  // Sends a GET again when a reused connection turns out to be closed. Off, every such failure is
-  // reported, so that the caller can count what it sends.
-  bool repeat_stale_get = true;
-  // Reuses a connection only within half of the time that the server's Keep-Alive field states,
-  // and not at all without that field: servers that close early would break non-idempotent calls.
-  bool only_stated_keep_alive = false;
+  // Retries a GET once on a new connection when a reused connection turns out to be closed. If
+  // false, every such failure is reported, so that the caller can count the requests that it sends.
+  bool retry_stale_get = true;
+  // Reuses a connection only within half of the timeout in the server's Keep-Alive field, and not
+  // at all without that field: a server that closes an idle connection early would otherwise break
+  // non-idempotent calls.
+  bool require_keep_alive_timeout = false;
 };
 
-// Told about a streamed response as it arrives.
+// Callbacks that receive a streamed response as it arrives. Each may be empty.
 struct stream_observer {
   std::function<void(const response& head)> on_head;
   std::function<void(std::string_view bytes)> on_bytes; // body bytes, chunk framing removed
-  // The same, but nothing more is read until it has returned, so that a slow reader downstream
-  // slows the sender instead of filling memory.
-  std::function<boost::asio::awaitable<void>(std::string_view bytes)> write_bytes;
-  // False: this answers an earlier request of the connection; it is skipped and the next response
-  // awaited. Unset: every response is taken.
+  // Like on_bytes, but the client reads no more until the coroutine has finished. A slow consumer
+  // thus slows the sender down (backpressure) instead of filling memory.
+  std::function<boost::asio::awaitable<void>(std::string_view bytes)> on_bytes_async;
+  // Returns false for a response to an earlier request on the connection; the client skips it and
+  // waits for the next response. If empty, every response is accepted.
   std::function<bool(const response& head)> is_expected;
 };
 
-// A request in flight that can be cancelled from the client's io_context.
-class exchange {
+// Cancels a request in flight. Use it on the thread of the client's io_context.
+class cancel_handle {
  public:
-  // Closes the connection; the call throws broken_exchange_error.
+  // Closes the connection of the request; the pending call throws broken_exchange_error. Does
+  // nothing when the call has ended.
   void cancel();
 
  private:
@@ -60,16 +66,18 @@
   std::function<void()> cancel_;
 };
 
-// Sends requests. Not thread-safe: use it on its io_context's thread.
+// Sends requests. Not thread-safe: use it on the thread of its io_context.
 //
-// Observers run on the io_context's thread; what they throw ends the exchange and reaches the
-// caller. A message that cannot be written (line breaks in a field) throws http_error.
+// Observers run on the thread of the io_context. An exception from an observer ends the exchange
+// and propagates to the caller. A message that cannot be sent, for example because a field contains
+// a line break, throws http_error.
 //
-// A reused connection on which no response comes, be it that it breaks or stays silent, takes the
-// other idle connections to its address with it.
+// If a reused connection fails or times out before any byte of a response, the client also closes
+// the other idle connections to that address.
 //
-// A request on a reused connection that breaks before any byte of a response is sent again only
-// for GET; anything else gets broken_exchange_error, because it may have been run.
+// If a reused connection fails (other than by a timeout) before any byte of a response, the client
+// retries a GET request on a new connection. Other methods throw broken_exchange_error, because the
+// server may have executed the request.
 class client {
  public:
   explicit client(boost::asio::io_context& context, client_options options = {});
@@ -77,21 +85,22 @@
   client(const client&) = delete;
   client& operator=(const client&) = delete;
 
-  // Sends `message` and returns the whole response. Throws connect_error when no byte was sent,
-  // exchange_timeout_error after `deadline`, broken_exchange_error otherwise.
+  // Sends `message` and returns the complete response. Throws connect_error if no byte was sent,
+  // exchange_timeout_error if `deadline` passes after that, and broken_exchange_error for other
+  // failures, including a response over the body limit.
   boost::asio::awaitable<response> call(socket_address to, request message, mono_time deadline);
 
-  // The same for a streamed response; returns when the body has ended whole and throws
-  // broken_exchange_error if it is cut short. `handle` (may be null) is filled in at once, to
-  // cancel the exchange.
+  // Like call(), but passes the response to `observer` as it arrives; the body limit does not
+  // apply. Returns when the body is complete and throws broken_exchange_error if it is truncated.
+  // `handle`, if not null, is set before the call returns its awaitable and can cancel the request.
   boost::asio::awaitable<void> stream(socket_address to, request message, mono_time deadline,
-                                      stream_observer observer, exchange* handle = nullptr);
+                                      stream_observer observer, cancel_handle* handle = nullptr);
 
-  // Connections opened so far.
+  // Returns how many connections this client has tried to open.
   [[nodiscard]] std::uint64_t connections_opened() const;
 
-  // Closes the idle connections to `to`, as when an endpoint leaves.
-  void forget(const socket_address& to);
+  // Closes the idle connections to `to`, for example because the endpoint was removed.
+  void close_idle_connections(const socket_address& to);
 
  private:
   class implementation;
--- a/include/wisteriaflow/http/message.h
+++ b/include/wisteriaflow/http/message.h
@@ -1,5 +1,5 @@
-// HTTP messages as the project passes them between its parts. Beast stays behind the package's
-// sources.
+// HTTP message types that are independent of Boost.Beast, which only the sources of this package
+// use.
 
 #ifndef WISTERIAFLOW_HTTP_MESSAGE_H_
 #define WISTERIAFLOW_HTTP_MESSAGE_H_
@@ -19,14 +19,15 @@
   friend bool operator==(const header&, const header&) = default;
 };
 
-// Header fields in the order they stand in the message.
+// Header fields in the order of the message; a name may occur more than once.
 using headers = std::vector<header>;
 
-// The value of the first field named `name` (case ignored), or `fallback` if there is none.
+// Returns the value of the first field named `name` (ignoring case), or `fallback` if there is
+// none.
 [[nodiscard]] std::string_view find_header(const headers& fields, std::string_view name,
                                            std::string_view fallback = {});
 
-// A whole request.
+// A complete request.
 struct request {
   std::string method = "GET";
   std::string target = "/";
@@ -36,7 +37,7 @@
   friend bool operator==(const request&, const request&) = default;
 };
 
-// A whole response, or the head of a streamed one (`body` empty).
+// A complete response, or the head of a streamed response, in which `body` is empty.
 struct response {
   int status = 200;
   headers fields;
@@ -45,7 +46,7 @@
   friend bool operator==(const response&, const response&) = default;
 };
 
-// The parts of a request target such as "/v1/addresses?zone=a".
+// The path and query of a request target such as "/v1/addresses?zone=a".
 struct target_parts {
   std::string path;
   std::vector<header> query; // percent-decoded name and value pairs
@@ -53,23 +54,23 @@
   friend bool operator==(const target_parts&, const target_parts&) = default;
 };
 
-// Splits and decodes `target`. Malformed percent escapes are kept as they stand.
+// Splits `target` and decodes its query. Malformed percent escapes are kept unchanged.
 [[nodiscard]] target_parts parse_target(std::string_view target);
 
-// A TCP address by IP number.
+// A TCP address: an IP address (not a host name) and a port.
 struct socket_address {
   std::string host = "127.0.0.1";
   std::uint16_t port = 0;
 
-  // clang-tidy 14 takes the comparison with zero inside it for a null pointer.
+  // NOLINT: clang-tidy 14 mistakes the comparison with zero inside it for one with a null pointer.
   friend auto operator<=>(const socket_address&,
                           const socket_address&) = default; // NOLINT(modernize-use-nullptr)
 };
 
-// Parses "127.0.0.1:8080". Throws http_error if `text` is not an IP number and a port.
+// Parses "127.0.0.1:8080". Throws http_error if `text` is not an IP address and a port.
 [[nodiscard]] socket_address parse_socket_address(std::string_view text);
 
-// "127.0.0.1:8080".
+// Formats an address as "127.0.0.1:8080".
 [[nodiscard]] std::string to_string(const socket_address& address);
 
 } // namespace wisteriaflow::http
--- a/include/wisteriaflow/http/server.h
+++ b/include/wisteriaflow/http/server.h
@@ -1,4 +1,4 @@
-// An HTTP/1.1 server for one io_context, over Boost.Beast.
+// An HTTP/1.1 server on one io_context, based on Boost.Beast.
 //
 //   boost::asio::io_context context;
 //   http::server server(context, {.address = {"127.0.0.1", 0}},
@@ -8,8 +8,8 @@
 //                       });
 //   context.run();
 //
-// In handlers, build messages in locals as above: GCC 12 destroys some temporaries inside a
-// co_await expression twice.
+// In handlers, store messages in local variables before co_await, as above: GCC 12 destroys some
+// temporaries inside a co_await expression twice.
 
 #ifndef WISTERIAFLOW_HTTP_SERVER_H_
 #define WISTERIAFLOW_HTTP_SERVER_H_
@@ -27,69 +27,75 @@
 
 namespace wisteriaflow::http {
 
-// Sends one response. Belongs to the connection that received the request; every member is called
-// on the server's io_context.
+// Sends the response to one request: either send(), or start_stream(), write_chunk() and
+// finish_stream(). It belongs to the connection that received the request. Call its members on the
+// thread of the server's io_context. Writing throws broken_exchange_error if the peer has
+// disconnected, if the write times out or if the call is out of order.
 class response_writer {
  public:
   virtual ~response_writer() = default;
 
-  // Sends a whole response. Throws broken_exchange_error if the peer is gone.
-  virtual boost::asio::awaitable<void> send(response whole) = 0;
+  // Sends a complete response.
+  virtual boost::asio::awaitable<void> send(response full_response) = 0;
 
-  // Sends the head of a chunked response; `head.body` must be empty.
+  // Sends the head of a chunked response; `head.body` must be empty. An HTTP/1.0 client gets a body
+  // that ends when the connection closes.
   virtual boost::asio::awaitable<void> start_stream(response head) = 0;
 
-  // Sends one chunk of a started stream.
+  // Sends one chunk of a started stream; empty `bytes` send nothing.
   virtual boost::asio::awaitable<void> write_chunk(std::string_view bytes) = 0;
 
   // Ends a started stream.
   virtual boost::asio::awaitable<void> finish_stream() = 0;
 
-  // Closes the connection without ending the response: the peer sees a cut.
+  // Closes the connection without completing the response, so that the peer detects the truncation.
   virtual void abort() = 0;
 
-  // Calls `on_closed` once if the peer closes its side before the response is finished.
+  // Calls `on_closed` once if the peer closes the connection before the response is complete.
   virtual void on_peer_closed(std::function<void()> on_closed) = 0;
 };
 
-// Answers one request. An exception that escapes becomes a 500 if nothing was sent, else a cut.
+// Handles one request. If it throws, or returns without a response, the server sends status 500
+// when no response was started and otherwise closes the connection.
 using handler = std::function<boost::asio::awaitable<void>(request, response_writer&)>;
 
-// What a server accepts. A request over a limit is answered 431 or 413 and its connection closed.
+// Limits of a server. A request over a size limit gets status 431 (header) or 413 (body), and its
+// connection is closed.
 struct server_options {
-  socket_address address;                                // port 0: the kernel chooses
+  socket_address address;                                // port 0: the kernel chooses a port
   std::size_t header_limit = std::size_t{16} * 1024;     // bytes
   std::size_t body_limit = std::size_t{4} * 1024 * 1024; // bytes
-  std::size_t connection_limit = 4096;                   // more are accepted and closed at once
-  std::chrono::milliseconds read_timeout{30'000};        // a whole request must arrive within it
+  std::size_t connection_limit = 4096;                   // connections above it are closed at once
+  std::chrono::milliseconds read_timeout{30'000};        // limit for receiving a complete request
   std::chrono::milliseconds idle_timeout{60'000};        // between requests of a connection
-  std::chrono::milliseconds write_timeout{10'000};       // a slow reader is cut after it
+  std::chrono::milliseconds write_timeout{10'000};       // a slower write closes the connection
 };
 
-// Accepts connections until stopped. Not thread-safe: use it on its io_context's thread.
+// Accepts connections until it is stopped. Not thread-safe: use it on the thread of its io_context.
 class server {
  public:
-  // Listens at once. Throws http_error if the address cannot be bound.
+  // Starts to listen. Throws http_error if the address cannot be bound.
   server(boost::asio::io_context& context, server_options options, handler on_request);
   ~server();
   server(const server&) = delete;
   server& operator=(const server&) = delete;
 
-  // The address listened on, with the port the kernel chose.
+  // Returns the listening address, with the actual port.
   [[nodiscard]] socket_address address() const;
 
-  // Requests received whose response is not finished.
+  // Returns the number of received requests whose response is not complete.
   [[nodiscard]] std::size_t open_requests() const;
 
-  // From now on tells peers with each response that the connection will not be kept; still accepts
-  // and serves new ones.
-  void announce_close();
+  // Closes each connection after its next response, which says so in its Connection field. The
+  // server still accepts new connections.
+  void disable_keep_alive();
 
-  // Takes no new connections; connections close after the response they are sending, and idle
-  // ones after a moment in which a request under way is still answered.
+  // Starts to drain: accepts no new connections and closes each connection after its current
+  // response. Idle connections stay open for a short time, in which the server still answers a
+  // request that was in transit.
   void stop_accepting();
 
-  // Closes everything at once.
+  // Closes the listener and all connections at once.
   void close();
 
  private:
--- a/include/wisteriaflow/http/status.h
+++ b/include/wisteriaflow/http/status.h
@@ -1,4 +1,4 @@
-// HTTP status codes by name.
+// Named HTTP status codes.
 
 #ifndef WISTERIAFLOW_HTTP_STATUS_H_
 #define WISTERIAFLOW_HTTP_STATUS_H_
@@ -6,17 +6,17 @@
 namespace wisteriaflow::http::status {
 
 inline constexpr int ok = 200;
-inline constexpr int first_redirect = 300; // successes are below it
+inline constexpr int first_redirect = 300; // codes from `ok` up to it are successes
 inline constexpr int bad_request = 400;
 inline constexpr int unauthorized = 401;
 inline constexpr int not_found = 404;
 inline constexpr int request_timeout = 408;
 inline constexpr int payload_too_large = 413;
-inline constexpr int misdirected = 421;
+inline constexpr int misdirected_request = 421;
 inline constexpr int too_many_requests = 429;
 inline constexpr int first_server_error = 500;
 inline constexpr int bad_gateway = 502;
-inline constexpr int unavailable = 503;
+inline constexpr int service_unavailable = 503;
 inline constexpr int gateway_timeout = 504;
 
 [[nodiscard]] constexpr bool is_success(int code)
--- a/src/base/deflate.cc
+++ b/src/base/deflate.cc
@@ -7,51 +7,54 @@
 namespace wisteriaflow {
 namespace {
 
-// Reports of a fleet of 63 daemons, 3.1 KB on the mean, pack to 0.98 KB at the fastest level.
-constexpr int level = Z_BEST_SPEED;
-// Texts are of a few kilobytes: a window of 8 KB and small tables do, 64 KB in place of 268.
+// The fastest level compresses the reports of a fleet of 63 daemons from a mean of 3.1 KB to 0.98
+// KB.
+constexpr int compression_level = Z_BEST_SPEED;
+// A window of 8 KB and small tables suffice for texts of a few kilobytes; they take 64 KB of memory
+// instead of 268 KB.
 constexpr int window_bits = 13;
 constexpr int memory_level = 6;
-constexpr std::size_t first_size = 16'384; // bytes of an unpacked text, doubled as needed
+constexpr std::size_t initial_output_size = 16'384; // bytes; doubled as needed
 
 Bytef* bytes_of(std::string_view text)
 {
-  // zlib's bytes are unsigned, and its input is not const though it is left as it is.
+  // zlib uses unsigned bytes, and takes its input as non-const although it does not modify it.
   return reinterpret_cast<Bytef*>(const_cast<char*>(text.data())); // NOLINT
 }
 
-void check(int result, const char* what)
+void throw_on_zlib_error(int result, const char* operation)
 {
   if (result != Z_OK) {
-    throw deflate_error(std::string(what) + ": " + zError(result));
+    throw deflate_error(std::string(operation) + ": " + zError(result));
   }
 }
 
-// The state of zlib is kept from text to text: its tables are larger than the texts, and would be
-// got from the system and cleared anew for each.
-class packer {
+// Reuses the zlib state for all texts of a thread: its tables are larger than the texts, and a new
+// state would allocate and clear them for each text.
+class deflater {
  public:
-  packer()
+  deflater()
   {
-    check(deflateInit2(&stream_, level, Z_DEFLATED, window_bits, memory_level, Z_DEFAULT_STRATEGY),
-          "cannot deflate");
+    throw_on_zlib_error(deflateInit2(&stream_, compression_level, Z_DEFLATED, window_bits,
+                                     memory_level, Z_DEFAULT_STRATEGY),
+                        "cannot deflate");
   }
-  ~packer() { deflateEnd(&stream_); }
-  packer(const packer&) = delete;
-  packer& operator=(const packer&) = delete;
-  packer(packer&&) = delete;
-  packer& operator=(packer&&) = delete;
+  ~deflater() { deflateEnd(&stream_); }
+  deflater(const deflater&) = delete;
+  deflater& operator=(const deflater&) = delete;
+  deflater(deflater&&) = delete;
+  deflater& operator=(deflater&&) = delete;
 
-  std::string pack(std::string_view text)
+  std::string compress(std::string_view text)
   {
-    check(deflateReset(&stream_), "cannot deflate");
+    throw_on_zlib_error(deflateReset(&stream_), "cannot deflate");
     std::string out(deflateBound(&stream_, text.size()), '\0');
     stream_.next_in = bytes_of(text);
     stream_.avail_in = static_cast<uInt>(text.size());
     stream_.next_out = bytes_of(out);
     stream_.avail_out = static_cast<uInt>(out.size());
     if (const int result = ::deflate(&stream_, Z_FINISH); result != Z_STREAM_END) {
-      check(result == Z_OK ? Z_BUF_ERROR : result, "cannot deflate");
+      throw_on_zlib_error(result == Z_OK ? Z_BUF_ERROR : result, "cannot deflate");
     }
     out.resize(stream_.total_out);
     return out;
@@ -61,22 +64,24 @@
   z_stream stream_{};
 };
 
-class unpacker {
+// Decompression counterpart of deflater.
+class inflater {
  public:
-  unpacker() { check(inflateInit(&stream_), "cannot inflate"); }
-  ~unpacker() { inflateEnd(&stream_); }
-  unpacker(const unpacker&) = delete;
-  unpacker& operator=(const unpacker&) = delete;
-  unpacker(unpacker&&) = delete;
-  unpacker& operator=(unpacker&&) = delete;
-
-  std::string unpack(std::string_view packed, std::size_t limit)
+  inflater() { throw_on_zlib_error(inflateInit(&stream_), "cannot inflate"); }
+  ~inflater() { inflateEnd(&stream_); }
+  inflater(const inflater&) = delete;
+  inflater& operator=(const inflater&) = delete;
+  inflater(inflater&&) = delete;
+  inflater& operator=(inflater&&) = delete;
+
+  std::string decompress(std::string_view compressed, std::size_t limit)
   {
-    check(inflateReset(&stream_), "cannot inflate");
-    stream_.next_in = bytes_of(packed);
-    stream_.avail_in = static_cast<uInt>(packed.size());
+    throw_on_zlib_error(inflateReset(&stream_), "cannot inflate");
+    stream_.next_in = bytes_of(compressed);
+    stream_.avail_in = static_cast<uInt>(compressed.size());
     std::string out;
-    for (auto capacity = std::min(first_size, limit);; capacity = std::min(2 * capacity, limit)) {
+    for (auto capacity = std::min(initial_output_size, limit);;
+         capacity = std::min(2 * capacity, limit)) {
       out.resize(capacity);
       stream_.next_out = bytes_of(std::string_view(out).substr(stream_.total_out));
       stream_.avail_out = static_cast<uInt>(capacity - stream_.total_out);
@@ -85,8 +90,8 @@
         out.resize(stream_.total_out);
         return out;
       }
-      const bool is_full = result == Z_BUF_ERROR && stream_.avail_out == 0;
-      if (!is_full || capacity == limit) {
+      const bool is_output_full = result == Z_BUF_ERROR && stream_.avail_out == 0;
+      if (!is_output_full || capacity == limit) {
         throw deflate_error(std::string("cannot inflate: ") + zError(result));
       }
     }
@@ -100,14 +105,14 @@
 
 std::string deflate(std::string_view text)
 {
-  thread_local packer kept;
-  return kept.pack(text);
+  thread_local deflater reused;
+  return reused.compress(text);
 }
 
-std::string inflate(std::string_view packed, std::size_t limit)
+std::string inflate(std::string_view compressed, std::size_t limit)
 {
-  thread_local unpacker kept;
-  return kept.unpack(packed, limit);
+  thread_local inflater reused;
+  return reused.decompress(compressed, limit);
 }
 
 } // namespace wisteriaflow
--- a/src/base/ini_file.cc
+++ b/src/base/ini_file.cc
@@ -16,8 +16,9 @@
   ini_values values;
   for (const auto& [section, keys] : tree) {
     if (keys.empty()) {
-      throw ini_error(ini_fault(name, {.key = section}, keys.data(),
-                                "stands outside any section; allowed: keys below [section]"));
+      throw ini_error(
+          ini_error_message(name, {.key = section}, keys.data(),
+                            "is outside any section; keys must follow a [section] line"));
     }
     for (const auto& [key, value] : keys) {
       values[{.section = section, .key = key}] = value.data();
@@ -26,10 +27,10 @@
   return values;
 }
 
-std::string ini_fault(const std::string& file, const ini_key& where, const std::string& value,
-                      const std::string& problem)
+std::string ini_error_message(const std::string& file, const ini_key& key, const std::string& value,
+                              const std::string& problem)
 {
-  return file + ": section [" + where.section + "], key '" + where.key + "' = '" + value +
+  return file + ": section [" + key.section + "], key '" + key.key + "' = '" + value +
          "': " + problem;
 }
 
--- a/src/base/suspension_clock.cc
+++ b/src/base/suspension_clock.cc
@@ -5,23 +5,23 @@
 namespace wisteriaflow {
 
 suspension_clock::suspension_clock(std::function<uptime_reading()> read)
-    : read_(std::move(read)), lag_at_start_(lag(read_()))
+    : read_(std::move(read)), suspended_before_start_(suspended_since_boot(read_()))
 {
 }
 
 mono_time suspension_clock::now() const
 {
-  return mono_time(read_().since_boot - lag_at_start_);
+  return mono_time(read_().since_boot - suspended_before_start_);
 }
 
-std::chrono::nanoseconds suspension_clock::suspended() const
+std::chrono::nanoseconds suspension_clock::suspended_duration() const
 {
-  return lag(read_()) - lag_at_start_;
+  return suspended_since_boot(read_()) - suspended_before_start_;
 }
 
-std::chrono::nanoseconds suspension_clock::lag(const uptime_reading& r)
+std::chrono::nanoseconds suspension_clock::suspended_since_boot(const uptime_reading& reading)
 {
-  return r.since_boot - r.running.time_since_epoch();
+  return reading.since_boot - reading.monotonic.time_since_epoch();
 }
 
 } // namespace wisteriaflow
--- a/src/base/text.cc
+++ b/src/base/text.cc
@@ -17,12 +17,12 @@
 
 std::string_view trim(std::string_view text)
 {
-  constexpr std::string_view blanks = " \t\r\n";
-  const auto first = text.find_first_not_of(blanks);
+  constexpr std::string_view whitespace = " \t\r\n";
+  const auto first = text.find_first_not_of(whitespace);
   if (first == std::string_view::npos) {
     return {};
   }
-  return text.substr(first, text.find_last_not_of(blanks) - first + 1);
+  return text.substr(first, text.find_last_not_of(whitespace) - first + 1);
 }
 
 std::vector<std::string_view> split(std::string_view text, char separator)
--- a/src/daemon/endpoint_side.cc
+++ b/src/daemon/endpoint_side.cc
@@ -30,7 +30,7 @@
 
 void endpoint_client::handle_action(const core::start_exchange& a)
 {
-  const auto handle = std::make_shared<http::exchange>();
+  const auto handle = std::make_shared<http::cancel_handle>();
   running_exchanges_.emplace(a.exchange, handle);
   boost::asio::co_spawn(thread_.context(), run(a, handle), boost::asio::detached);
 }
@@ -58,11 +58,11 @@
 
 void endpoint_client::handle_action(const core::close_idle_connections& a)
 {
-  client_.forget(a.address);
+  client_.close_idle_connections(a.address);
 }
 
 boost::asio::awaitable<void> endpoint_client::run(core::start_exchange a,
-                                                  std::shared_ptr<http::exchange> handle)
+                                                  std::shared_ptr<http::cancel_handle> handle)
 {
   const auto number = a.exchange;
   auto failure = core::exchange_failure::broken;
@@ -101,8 +101,8 @@
   }
 }
 
-boost::asio::awaitable<void> endpoint_client::run_streamed(core::start_exchange a,
-                                                           std::shared_ptr<http::exchange> handle)
+boost::asio::awaitable<void>
+endpoint_client::run_streamed(core::start_exchange a, std::shared_ptr<http::cancel_handle> handle)
 {
   const auto number = a.exchange;
   http::stream_observer observer;
--- a/src/daemon/settings.cc
+++ b/src/daemon/settings.cc
@@ -286,7 +286,7 @@
     };
     if (std::none_of(definitions().begin(), definitions().end(), is_here)) {
       throw settings_error(
-          ini_fault(name, where, value, "unknown key; docs/REFERENCE.md lists them"));
+          ini_error_message(name, where, value, "unknown key; docs/REFERENCE.md lists them"));
     }
   }
 }
@@ -327,7 +327,7 @@
     const auto& value = it == values.end() ? d.default_value : it->second;
     if (!std::visit(apply_rule{out, value}, d.allowed)) {
       const auto allowed = "allowed: " + std::visit(describe_rule{}, d.allowed);
-      throw settings_error(ini_fault(name, {d.section, d.key}, value, allowed));
+      throw settings_error(ini_error_message(name, {d.section, d.key}, value, allowed));
     }
   }
   check_consistency(out, name);
--- a/src/gateway/answer_verdict.cc
+++ b/src/gateway/answer_verdict.cc
@@ -11,8 +11,8 @@
 // did not run the request, such a status must not be forwarded.
 bool implies_not_run(int code)
 {
-  return code == status::request_timeout || code == status::misdirected ||
-         code == status::too_many_requests || code == status::unavailable;
+  return code == status::request_timeout || code == status::misdirected_request ||
+         code == status::too_many_requests || code == status::service_unavailable;
 }
 
 } // namespace
@@ -44,7 +44,7 @@
 int final_status(const attempt_history& history)
 {
   if (!history.may_have_run) {
-    return status::unavailable;
+    return status::service_unavailable;
   }
   return history.timed_out ? status::gateway_timeout : status::bad_gateway;
 }
--- a/src/http/beast_message.h
+++ b/src/http/beast_message.h
@@ -1,5 +1,5 @@
-// Conversions between the package's messages and Beast's, and the checks that a message may be
-// written as it stands.
+// Conversions between the package's message types and those of Boost.Beast, and checks that protect
+// sent messages against header injection.
 
 #ifndef WISTERIAFLOW_SRC_HTTP_BEAST_MESSAGE_H_
 #define WISTERIAFLOW_SRC_HTTP_BEAST_MESSAGE_H_
@@ -12,15 +12,17 @@
 
 namespace wisteriaflow::http::internal {
 
-// Copies `from` into `to`, leaving out the fields that describe one connection or the framing:
-// those are set anew for each hop. Throws http_error if a field would break the message's lines.
+// Copies `from` into `to` without the fields that describe a connection or the framing, because
+// each hop sets these itself. Throws http_error if a name or value contains characters that would
+// corrupt the header, such as line breaks.
 void append_fields(const headers& from, boost::beast::http::fields& to);
 
-// The fields of a received message, framing included.
+// Returns the fields of a received message, including those that describe the framing.
 [[nodiscard]] headers to_headers(const boost::beast::http::fields& from);
 
-// Throws http_error unless `word` can stand in a request line.
-void check_request_word(std::string_view word);
+// Throws http_error if `token` (a method or target) is empty or contains spaces or control
+// characters.
+void check_request_line_token(std::string_view token);
 
 } // namespace wisteriaflow::http::internal
 
--- a/src/http/client.cc
+++ b/src/http/client.cc
@@ -33,39 +33,39 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-constexpr std::size_t body_read_size = std::size_t{8} * 1024; // bytes handed over at once, at most
+constexpr std::size_t body_read_size = std::size_t{8} * 1024; // max bytes per callback
 constexpr std::uint32_t header_limit = 64 * 1024;
 constexpr unsigned first_final_status = 200;
 
 using wire_request = beast_http::request<beast_http::string_body>;
 using response_reader = beast_http::response_parser<beast_http::buffer_body>;
 
-// One connection to a server, with what was read beyond the last response.
-struct link {
-  explicit link(asio::io_context& context) : stream(context) {}
+// One connection to a server, with the bytes that were read after the end of the last response.
+struct client_connection {
+  explicit client_connection(asio::io_context& context) : stream(context) {}
 
   boost::beast::tcp_stream stream;
   boost::beast::flat_buffer buffer;
   mono_time idle_until;
 };
 
-// One call in progress. Shared with the handle that cancels it.
+// One call in progress, shared with the cancel_handle of the caller.
 struct call_state {
   socket_address to;
   mono_time deadline;
   stream_observer observer;
-  std::shared_ptr<link> connection;
+  std::shared_ptr<client_connection> connection;
   bool reused = false;
   bool cancelled = false;
-  bool response_begun = false;
+  bool response_started = false;
   bool keep_alive = false;
-  std::chrono::milliseconds idle_time{0}; // that the connection may be kept for
+  std::chrono::milliseconds idle_timeout{0}; // how long the connection may stay idle
 };
 
 wire_request to_wire(request message, const socket_address& to)
 {
-  internal::check_request_word(message.method);
-  internal::check_request_word(message.target);
+  internal::check_request_line_token(message.method);
+  internal::check_request_line_token(message.target);
   wire_request wire;
   wire.version(11);
   wire.method_string(message.method);
@@ -79,8 +79,8 @@
   return wire;
 }
 
-// Whether the server has neither closed an idle connection nor sent anything on it.
-bool is_usable(link& idle)
+// Returns whether the server has neither closed an idle connection nor sent anything on it.
+bool is_usable(client_connection& idle)
 {
   char byte = 0;
   error_code ec;
@@ -88,16 +88,17 @@
   return ec == asio::error::would_block;
 }
 
-// Gives up a connection on which sent bytes stay unacknowledged; see client_options. A connection
-// on which only an answer is awaited sends nothing, so probes keep it under the same limit: without
-// them one that a firewall has forgotten is waited on until the call's deadline.
-void limit_unacknowledged(tcp::socket& socket, std::chrono::milliseconds limit)
+// Makes the kernel close a connection when sent bytes stay unacknowledged; see client_options. A
+// connection that waits for a response sends nothing, so TCP keep-alive probes apply the same limit
+// to it: without them, a connection that a firewall dropped would block the call until its
+// deadline.
+void set_unacknowledged_timeout(tcp::socket& socket, std::chrono::milliseconds limit)
 {
   if (limit.count() <= 0) {
     return;
   }
-  constexpr int probe_seconds = 1; // the shortest that the kernel knows
-  constexpr int lost_probes = 2;
+  constexpr int probe_seconds = 1; // the minimum of the kernel
+  constexpr int max_lost_probes = 2;
   const auto ms = static_cast<unsigned>(limit.count());
   const int fd = socket.native_handle();
   ::setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &ms, sizeof ms);
@@ -105,16 +106,17 @@
   socket.set_option(asio::socket_base::keep_alive(true), ec);
   ::setsockopt(fd, IPPROTO_TCP, TCP_KEEPIDLE, &probe_seconds, sizeof probe_seconds);
   ::setsockopt(fd, IPPROTO_TCP, TCP_KEEPINTVL, &probe_seconds, sizeof probe_seconds);
-  ::setsockopt(fd, IPPROTO_TCP, TCP_KEEPCNT, &lost_probes, sizeof lost_probes);
+  ::setsockopt(fd, IPPROTO_TCP, TCP_KEEPCNT, &max_lost_probes, sizeof max_lost_probes);
 }
 
-// The time that a response's Keep-Alive field states ("timeout=5" or "5"); nothing without one.
-std::optional<std::chrono::seconds> stated_keep_alive(const response& head)
+// Returns the timeout in the Keep-Alive field of a response ("timeout=5" or "5"), or nullopt
+// without one.
+std::optional<std::chrono::seconds> parse_keep_alive_timeout(const response& head)
 {
   auto text = find_header(head.fields, "Keep-Alive");
-  const auto parameter = text.find("timeout=");
-  if (parameter != std::string_view::npos) {
-    text.remove_prefix(parameter + std::string_view("timeout=").size());
+  const auto marker = text.find("timeout=");
+  if (marker != std::string_view::npos) {
+    text.remove_prefix(marker + std::string_view("timeout=").size());
   }
   unsigned seconds = 0;
   const auto [end, ec] = std::from_chars(text.data(), text.data() + text.size(), seconds);
@@ -124,7 +126,7 @@
   return std::chrono::seconds(seconds);
 }
 
-[[noreturn]] void throw_broken(const call_state& call, error_code ec)
+[[noreturn]] void throw_exchange_error(const call_state& call, error_code ec)
 {
   if (call.cancelled) {
     throw broken_exchange_error("the exchange with " + to_string(call.to) + " was cancelled");
@@ -148,69 +150,70 @@
   asio::awaitable<response> call(std::shared_ptr<implementation> self,
                                  std::shared_ptr<call_state> call, request message)
   {
-    response whole;
+    response result;
     const auto limit = options_.body_limit;
-    call->observer.on_head = [&whole](const response& head) { whole = head; };
-    call->observer.on_bytes = [&whole, limit](std::string_view bytes) {
-      if (whole.body.size() + bytes.size() > limit) {
+    call->observer.on_head = [&result](const response& head) { result = head; };
+    call->observer.on_bytes = [&result, limit](std::string_view bytes) {
+      if (result.body.size() + bytes.size() > limit) {
         throw broken_exchange_error("the response is over the limit of " + std::to_string(limit) +
                                     " bytes");
       }
-      whole.body.append(bytes);
+      result.body.append(bytes);
     };
     co_await stream(self, call, std::move(message));
-    co_return whole;
+    co_return result;
   }
 
   // `self` keeps this object alive for as long as the coroutine runs.
   asio::awaitable<void> stream([[maybe_unused]] std::shared_ptr<implementation> self,
                                std::shared_ptr<call_state> call, request message)
   {
-    const bool repeatable = options_.repeat_stale_get && message.method == "GET";
+    const bool retryable = options_.retry_stale_get && message.method == "GET";
     auto wire = to_wire(std::move(message), call->to);
-    for (bool fresh = false;; fresh = true) {
-      co_await connect(*call, fresh);
+    for (bool force_new = false;; force_new = true) {
+      co_await connect(*call, force_new);
       error_code ec;
       ec = co_await exchange_messages(*call, wire);
       if (!ec) {
         break;
       }
-      if (call->reused && !call->response_begun && !call->cancelled) {
-        // What silenced or broke this connection has most likely met the others, too; a call on
-        // each of them in turn would wait as long again.
+      if (call->reused && !call->response_started && !call->cancelled) {
+        // The cause of this failure most likely affects the other idle connections, too. Calls that
+        // tried them one after another would each wait as long again.
         idle_.erase(call->to);
       }
-      const bool stale = call->reused && !call->response_begun && !call->cancelled &&
-                         ec != boost::beast::error::timeout;
-      if (!stale || !repeatable) {
-        throw_broken(*call, ec);
+      const bool is_stale = call->reused && !call->response_started && !call->cancelled &&
+                            ec != boost::beast::error::timeout;
+      if (!is_stale || !retryable) {
+        throw_exchange_error(*call, ec);
       }
     }
     if (call->keep_alive) {
-      keep(*call);
+      keep_idle_connection(*call);
     }
   }
 
   [[nodiscard]] std::uint64_t connections_opened() const { return connections_opened_; }
 
-  void forget(const socket_address& to) { idle_.erase(to); }
+  void close_idle_connections(const socket_address& to) { idle_.erase(to); }
 
  private:
-  // Gives `call` a connection: an idle one unless `fresh`.
-  asio::awaitable<void> connect(call_state& call, bool fresh)
+  // Sets the connection of `call`: an idle one if there is one and `force_new` is false, else a new
+  // one.
+  asio::awaitable<void> connect(call_state& call, bool force_new)
   {
     if (call.cancelled) {
-      throw_broken(call, {});
+      throw_exchange_error(call, {});
     }
     if (std::chrono::steady_clock::now() >= call.deadline) {
       throw connect_error("no time left to connect to " + to_string(call.to));
     }
-    call.connection = fresh ? nullptr : take(call.to);
+    call.connection = force_new ? nullptr : take_idle_connection(call.to);
     call.reused = call.connection != nullptr;
     if (call.reused) {
       co_return;
     }
-    call.connection = std::make_shared<link>(context_);
+    call.connection = std::make_shared<client_connection>(context_);
     auto& stream = call.connection->stream;
     ++connections_opened_;
     stream.expires_at(connect_deadline(call));
@@ -221,14 +224,14 @@
       co_await stream.async_connect(endpoint, redirect_error(use_awaitable, ec));
     }
     if (call.cancelled) {
-      throw_broken(call, ec);
+      throw_exchange_error(call, ec);
     }
     if (ec) {
       throw connect_error("cannot connect to " + to_string(call.to) + ": " + ec.message());
     }
     stream.socket().set_option(tcp::no_delay(true), ec);
     stream.socket().non_blocking(true, ec); // for the peek in is_usable()
-    limit_unacknowledged(stream.socket(), options_.unacknowledged_timeout);
+    set_unacknowledged_timeout(stream.socket(), options_.unacknowledged_timeout);
   }
 
   [[nodiscard]] mono_time connect_deadline(const call_state& call) const
@@ -239,7 +242,7 @@
     return std::min(call.deadline, std::chrono::steady_clock::now() + options_.connect_timeout);
   }
 
-  // Sends `wire` and reads the response into the observer.
+  // Sends `wire` and passes the response to the observer.
   asio::awaitable<error_code> exchange_messages(call_state& call, wire_request& wire)
   {
     const auto connection = call.connection;
@@ -265,7 +268,7 @@
       }
       ec = co_await read_body(call, *connection, parser, expected);
       if (ec || expected) {
-        call.idle_time = idle_time_after(head);
+        call.idle_timeout = idle_timeout_after(head);
         call.keep_alive = !ec && !call.cancelled && parser.keep_alive();
         co_return ec;
       }
@@ -275,18 +278,18 @@
     }
   }
 
-  [[nodiscard]] std::chrono::milliseconds idle_time_after(const response& head) const
+  [[nodiscard]] std::chrono::milliseconds idle_timeout_after(const response& head) const
   {
-    if (!options_.only_stated_keep_alive) {
+    if (!options_.require_keep_alive_timeout) {
       return options_.idle_timeout;
     }
     const std::chrono::milliseconds stated =
-        stated_keep_alive(head).value_or(std::chrono::seconds{0});
+        parse_keep_alive_timeout(head).value_or(std::chrono::seconds{0});
     return std::min(options_.idle_timeout, stated / 2);
   }
 
-  // Reads up to the end of the head. An interim response such as 100 is passed over.
-  static asio::awaitable<error_code> read_head(call_state& call, link& connection,
+  // Reads up to the end of the head. Interim responses, such as 100, are skipped.
+  static asio::awaitable<error_code> read_head(call_state& call, client_connection& connection,
                                                std::optional<response_reader>& reader,
                                                bool head_only)
   {
@@ -298,12 +301,12 @@
       reader->skip(head_only);
       co_await beast_http::async_read_header(connection.stream, connection.buffer, *reader,
                                              redirect_error(use_awaitable, ec));
-      call.response_begun = call.response_begun || reader->got_some();
+      call.response_started = call.response_started || reader->got_some();
     } while (!ec && reader->get().result_int() < first_final_status);
     co_return ec;
   }
 
-  static asio::awaitable<error_code> read_body(call_state& call, link& connection,
+  static asio::awaitable<error_code> read_body(call_state& call, client_connection& connection,
                                                response_reader& parser, bool expected)
   {
     std::array<char, body_read_size> bytes; // NOLINT(cppcoreguidelines-pro-type-member-init)
@@ -325,8 +328,8 @@
         if (call.observer.on_bytes) {
           call.observer.on_bytes(received);
         }
-        if (call.observer.write_bytes) {
-          co_await call.observer.write_bytes(received);
+        if (call.observer.on_bytes_async) {
+          co_await call.observer.on_bytes_async(received);
         }
       }
       if (ec) {
@@ -336,15 +339,16 @@
     co_return ec;
   }
 
-  // The idle connection to `to` that was used last and still stands, or null.
-  std::shared_ptr<link> take(const socket_address& to)
+  // Removes and returns the most recently used idle connection to `to` that is still usable, or
+  // returns null.
+  std::shared_ptr<client_connection> take_idle_connection(const socket_address& to)
   {
     const auto it = idle_.find(to);
     while (it != idle_.end() && !it->second.empty()) {
       auto last = std::move(it->second.back());
       it->second.pop_back();
-      const bool in_time = std::chrono::steady_clock::now() < last->idle_until;
-      if (in_time && is_usable(*last)) {
+      const bool is_unexpired = std::chrono::steady_clock::now() < last->idle_until;
+      if (is_unexpired && is_usable(*last)) {
         return last;
       }
     }
@@ -354,31 +358,31 @@
     return nullptr;
   }
 
-  void keep(call_state& call)
+  void keep_idle_connection(call_state& call)
   {
-    auto used = std::move(call.connection);
-    // Bytes beyond the response answer nothing that was asked.
-    if (used->buffer.size() > 0 || call.idle_time.count() <= 0) {
+    auto connection = std::move(call.connection);
+    // Bytes after the end of the response belong to no request, so the connection is not reused.
+    if (connection->buffer.size() > 0 || call.idle_timeout.count() <= 0) {
       return;
     }
     auto& list = idle_[call.to];
     if (list.size() >= options_.idle_connections_per_address) {
       list.erase(list.begin());
     }
-    used->stream.expires_never();
-    used->buffer.clear();
-    used->buffer.shrink_to_fit();
-    used->idle_until = std::chrono::steady_clock::now() + call.idle_time;
-    list.push_back(std::move(used));
+    connection->stream.expires_never();
+    connection->buffer.clear();
+    connection->buffer.shrink_to_fit();
+    connection->idle_until = std::chrono::steady_clock::now() + call.idle_timeout;
+    list.push_back(std::move(connection));
   }
 
   asio::io_context& context_;
   client_options options_;
-  std::map<socket_address, std::vector<std::shared_ptr<link>>> idle_;
+  std::map<socket_address, std::vector<std::shared_ptr<client_connection>>> idle_;
   std::uint64_t connections_opened_ = 0;
 };
 
-void exchange::cancel()
+void cancel_handle::cancel()
 {
   if (cancel_) {
     cancel_();
@@ -401,7 +405,7 @@
 }
 
 asio::awaitable<void> client::stream(socket_address to, request message, mono_time deadline,
-                                     stream_observer observer, exchange* handle)
+                                     stream_observer observer, cancel_handle* handle)
 {
   auto call = std::make_shared<call_state>();
   call->to = std::move(to);
@@ -409,11 +413,11 @@
   call->observer = std::move(observer);
   if (handle != nullptr) {
     handle->cancel_ = [weak = std::weak_ptr<call_state>(call)] {
-      const auto live = weak.lock();
-      if (live) {
-        live->cancelled = true;
-        if (live->connection) {
-          live->connection->stream.close();
+      const auto active_call = weak.lock();
+      if (active_call) {
+        active_call->cancelled = true;
+        if (active_call->connection) {
+          active_call->connection->stream.close();
         }
       }
     };
@@ -426,9 +430,9 @@
   return implementation_->connections_opened();
 }
 
-void client::forget(const socket_address& to)
+void client::close_idle_connections(const socket_address& to)
 {
-  implementation_->forget(to);
+  implementation_->close_idle_connections(to);
 }
 
 } // namespace wisteriaflow::http
--- a/src/http/connection.cc
+++ b/src/http/connection.cc
@@ -27,37 +27,39 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-constexpr std::size_t first_read = 1024; // bytes; the buffer grows as needed
-constexpr std::chrono::milliseconds linger_time{1000};
+constexpr std::size_t initial_read_size = 1024; // bytes; the buffer grows as needed
+constexpr std::chrono::milliseconds lingering_close_time{1000};
 constexpr unsigned http_1_0 = 10;
 constexpr unsigned http_1_1 = 11;
-constexpr int malformed_status = 400;
-constexpr int body_status = 413;
-constexpr int header_status = 431;
-constexpr int internal_status = 500;
+constexpr int bad_request_status = 400;
+constexpr int payload_too_large_status = 413;
+constexpr int header_too_large_status = 431;
+constexpr int internal_error_status = 500;
 
-// Why a request is refused before the handler sees it.
-struct refusal {
+// Error response to a request that the server rejects without calling the handler.
+struct request_error {
   int status = 0;
   std::string_view reason;
   std::string_view message;
 };
 
-// The refusal for a failed read; nothing where the connection is beyond an answer.
-std::optional<refusal> refusal_for(error_code ec)
+// Returns the error response for a failed read, or nullopt if the peer closed the connection or the
+// read failed below the HTTP level, so that no response can be sent.
+std::optional<request_error> request_error_for(error_code ec)
 {
   if (ec == beast_http::error::header_limit || ec == beast_http::error::buffer_overflow) {
-    return refusal{header_status, "header_too_large", "the header is over the limit"};
+    return request_error{header_too_large_status, "header_too_large",
+                         "the header is over the limit"};
   }
   if (ec == beast_http::error::body_limit) {
-    return refusal{body_status, "body_too_large", "the body is over the limit"};
+    return request_error{payload_too_large_status, "body_too_large", "the body is over the limit"};
   }
-  const bool gone =
+  const bool peer_closed =
       ec == beast_http::error::end_of_stream || ec == beast_http::error::partial_message;
-  if (gone || ec.category() != make_error_code(beast_http::error::bad_method).category()) {
+  if (peer_closed || ec.category() != make_error_code(beast_http::error::bad_method).category()) {
     return std::nullopt;
   }
-  return refusal{malformed_status, "malformed_http", "the request is not valid HTTP/1.1"};
+  return request_error{bad_request_status, "malformed_http", "the request is not valid HTTP/1.1"};
 }
 
 response error_response(int status, std::string_view outcome, std::string_view type,
@@ -72,8 +74,8 @@
 }
 
 template <typename body_type>
-void fill_head(const response& from, unsigned version, bool keep_alive,
-               beast_http::response<body_type>& to)
+void fill_header(const response& from, unsigned version, bool keep_alive,
+                 beast_http::response<body_type>& to)
 {
   to.version(version);
   to.result(static_cast<unsigned>(from.status));
@@ -88,7 +90,7 @@
 {
   error_code ec;
   stream_.socket().set_option(tcp::no_delay(true), ec);
-  stream_.socket().non_blocking(true, ec); // for the peek in on_readable()
+  stream_.socket().non_blocking(true, ec); // for the message_peek in on_readable()
   state_->connections.insert(this);
 }
 
@@ -110,7 +112,7 @@
     if (!received) {
       break;
     }
-    co_await answer(std::move(*received));
+    co_await handle_request(std::move(*received));
   }
   close();
 }
@@ -137,9 +139,9 @@
     co_return true;
   }
   buffer_.clear();
-  buffer_.shrink_to_fit(); // an idle connection keeps no buffer of a large request
+  buffer_.shrink_to_fit(); // frees the buffer of a large request while idle
   stream_.expires_after(state_->options.idle_timeout);
-  const auto space = buffer_.prepare(first_read);
+  const auto space = buffer_.prepare(initial_read_size);
   error_code ec;
   const auto n = co_await stream_.async_read_some(space, redirect_error(use_awaitable, ec));
   buffer_.commit(n);
@@ -157,15 +159,15 @@
   co_await beast_http::async_read_header(stream_, buffer_, parser,
                                          redirect_error(use_awaitable, ec));
   if (!ec && parser.get()[beast_http::field::expect] == "100-continue") {
-    constexpr std::string_view go_on = "HTTP/1.1 100 Continue\r\n\r\n";
-    const auto bytes = asio::buffer(go_on.data(), go_on.size());
+    constexpr std::string_view continue_response = "HTTP/1.1 100 Continue\r\n\r\n";
+    const auto bytes = asio::buffer(continue_response.data(), continue_response.size());
     co_await asio::async_write(stream_, bytes, redirect_error(use_awaitable, ec));
   }
   if (!ec) {
     co_await beast_http::async_read(stream_, buffer_, parser, redirect_error(use_awaitable, ec));
   }
   if (ec) {
-    co_await refuse(ec);
+    co_await reject_request(ec);
     co_return std::nullopt;
   }
   auto message = parser.release();
@@ -179,44 +181,45 @@
   co_return received;
 }
 
-asio::awaitable<void> connection::refuse(error_code ec)
+asio::awaitable<void> connection::reject_request(error_code ec)
 {
-  const auto why = refusal_for(ec);
-  if (!why) {
+  const auto rejection = request_error_for(ec);
+  if (!rejection) {
     co_return;
   }
   version_ = http_1_1;
   keep_alive_ = false;
   head_only_ = false;
-  phase_ = phase::waiting;
-  auto answer = error_response(why->status, "invalid", "invalid", why->reason, why->message);
+  phase_ = phase::handling;
+  auto answer = error_response(rejection->status, "invalid", "invalid", rejection->reason,
+                               rejection->message);
   try {
     co_await send(std::move(answer));
-    co_await linger();
+    co_await lingering_close();
   } catch (const http_error&) {
-    close(); // the peer did not stay for its answer
+    close(); // the peer closed the connection before it received the response
   }
 }
 
-// Reads on for a moment: closing with bytes unread would reset the connection, and the peer might
-// lose the response.
-asio::awaitable<void> connection::linger()
+// Reads and discards input for a short time before the connection is closed: closing it with unread
+// bytes would reset it, and the peer might lose the response.
+asio::awaitable<void> connection::lingering_close()
 {
   error_code ec;
   stream_.socket().shutdown(tcp::socket::shutdown_send, ec);
-  stream_.expires_after(linger_time);
-  std::array<char, first_read> scrap{};
+  stream_.expires_after(lingering_close_time);
+  std::array<char, initial_read_size> discarded{};
   std::size_t left = state_->options.body_limit;
   while (!ec && left > 0) {
-    const auto space = asio::buffer(scrap);
+    const auto space = asio::buffer(discarded);
     const auto n = co_await stream_.async_read_some(space, redirect_error(use_awaitable, ec));
     left -= std::min(left, n);
   }
 }
 
-asio::awaitable<void> connection::answer(request received)
+asio::awaitable<void> connection::handle_request(request received)
 {
-  phase_ = phase::waiting;
+  phase_ = phase::handling;
   response_open_ = true;
   ++state_->open_requests;
   stream_.expires_never();
@@ -226,12 +229,13 @@
   } catch (const std::exception&) {
     failed = true;
   }
-  if (phase_ == phase::waiting) {
-    auto whole = error_response(internal_status, "outcome-unknown", "outcome_unknown",
-                                "internal_error", "the request ended without an answer");
+  if (phase_ == phase::handling) {
+    auto failure_response =
+        error_response(internal_error_status, "outcome-unknown", "outcome_unknown",
+                       "internal_error", "the request ended without an answer");
     keep_alive_ = false;
     try {
-      co_await send(std::move(whole));
+      co_await send(std::move(failure_response));
     } catch (const http_error&) {
       failed = true;
     }
@@ -245,16 +249,16 @@
   end_response();
 }
 
-asio::awaitable<void> connection::send(response whole)
+asio::awaitable<void> connection::send(response full_response)
 {
-  require(phase::waiting);
+  require_phase(phase::handling);
   keep_alive_ = keep_alive_ && !state_->draining;
   beast_http::response<beast_http::string_body> message;
-  fill_head(whole, version_, keep_alive_, message);
+  fill_header(full_response, version_, keep_alive_, message);
   if (head_only_) {
-    message.content_length(whole.body.size());
+    message.content_length(full_response.body.size());
   } else {
-    message.body() = std::move(whole.body);
+    message.body() = std::move(full_response.body);
     message.prepare_payload();
   }
   phase_ = phase::finished;
@@ -267,11 +271,11 @@
 
 asio::awaitable<void> connection::start_stream(response head)
 {
-  require(phase::waiting);
+  require_phase(phase::handling);
   const bool chunked = version_ == http_1_1;
   keep_alive_ = keep_alive_ && chunked && !state_->draining;
   beast_http::response<beast_http::empty_body> message;
-  fill_head(head, version_, keep_alive_, message);
+  fill_header(head, version_, keep_alive_, message);
   message.chunked(chunked);
   phase_ = phase::streaming;
   stream_.expires_after(state_->options.write_timeout);
@@ -283,7 +287,7 @@
 
 asio::awaitable<void> connection::write_chunk(std::string_view bytes)
 {
-  require(phase::streaming);
+  require_phase(phase::streaming);
   if (bytes.empty() || head_only_) {
     co_return; // an empty chunk would end the stream
   }
@@ -301,7 +305,7 @@
 
 asio::awaitable<void> connection::finish_stream()
 {
-  require(phase::streaming);
+  require_phase(phase::streaming);
   phase_ = phase::finished;
   if (version_ == http_1_1 && !head_only_) {
     stream_.expires_after(state_->options.write_timeout);
@@ -324,13 +328,14 @@
 void connection::on_peer_closed(std::function<void()> on_closed)
 {
   on_closed_ = std::move(on_closed);
-  watch_peer();
+  watch_for_peer_close();
 }
 
-void connection::require(phase expected) const
+void connection::require_phase(phase expected) const
 {
   if (phase_ != expected) {
-    throw broken_exchange_error("the response is finished, cut or not at this step");
+    throw broken_exchange_error(
+        "the response is already complete or aborted, or this call is out of order");
   }
 }
 
@@ -351,22 +356,22 @@
   }
 }
 
-void connection::watch_peer()
+void connection::watch_for_peer_close()
 {
-  if (watching_ || !on_closed_) {
+  if (watching_for_close_ || !on_closed_) {
     return;
   }
-  watching_ = true;
+  watching_for_close_ = true;
   stream_.socket().async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code ec) {
-    self->watching_ = false;
+    self->watching_for_close_ = false;
     if (!ec) {
       self->on_readable();
     }
   });
 }
 
-// Bytes of a next request say that the peer is there: the watch ends, since it would fire again
-// at once.
+// Checks whether the socket became readable because the peer closed the connection. If bytes of the
+// next request arrived instead, the watch ends, since it would fire again at once.
 void connection::on_readable()
 {
   char byte = 0;
@@ -376,7 +381,7 @@
     return;
   }
   if (ec == asio::error::would_block) {
-    watch_peer();
+    watch_for_peer_close();
     return;
   }
   const auto on_closed = std::exchange(on_closed_, nullptr);
--- a/src/http/connection.h
+++ b/src/http/connection.h
@@ -1,5 +1,5 @@
-// One accepted connection of a server: reads requests one after another, hands each to the
-// handler and writes its response.
+// One accepted connection of a server: reads requests one after another, passes each to the handler
+// and writes its response.
 
 #ifndef WISTERIAFLOW_SRC_HTTP_CONNECTION_H_
 #define WISTERIAFLOW_SRC_HTTP_CONNECTION_H_
@@ -21,7 +21,7 @@
 
 class connection;
 
-// What the connections of one server share.
+// State shared by all connections of one server.
 struct server_state {
   server_options options;
   handler on_request;
@@ -30,7 +30,7 @@
   bool draining = false;
 };
 
-// Kept alive by its coroutine and by the wait for its peer to close.
+// Owned by its coroutine and by the pending wait for the peer to close.
 class connection final : public response_writer, public std::enable_shared_from_this<connection> {
  public:
   connection(boost::asio::ip::tcp::socket socket, std::shared_ptr<server_state> state);
@@ -38,7 +38,7 @@
   connection(const connection&) = delete;
   connection& operator=(const connection&) = delete;
 
-  // Serves requests until the peer or the server ends the connection.
+  // Serves requests until the peer or the server closes the connection.
   boost::asio::awaitable<void> run();
 
   // Closes the socket at once.
@@ -47,7 +47,7 @@
   // Closes the socket if no byte of a request has arrived since the last response.
   void close_if_idle();
 
-  boost::asio::awaitable<void> send(response whole) override;
+  boost::asio::awaitable<void> send(response full_response) override;
   boost::asio::awaitable<void> start_stream(response head) override;
   boost::asio::awaitable<void> write_chunk(std::string_view bytes) override;
   boost::asio::awaitable<void> finish_stream() override;
@@ -55,17 +55,17 @@
   void on_peer_closed(std::function<void()> on_closed) override;
 
  private:
-  enum class phase { idle, reading, waiting, streaming, finished };
+  enum class phase { idle, reading, handling, streaming, finished };
 
   boost::asio::awaitable<bool> wait_for_bytes();
   boost::asio::awaitable<std::optional<request>> read_request();
-  boost::asio::awaitable<void> refuse(boost::system::error_code ec);
-  boost::asio::awaitable<void> linger();
-  boost::asio::awaitable<void> answer(request received);
-  void require(phase expected) const;
+  boost::asio::awaitable<void> reject_request(boost::system::error_code ec);
+  boost::asio::awaitable<void> lingering_close();
+  boost::asio::awaitable<void> handle_request(request received);
+  void require_phase(phase expected) const;
   void end_response();
   void check_written(boost::system::error_code ec);
-  void watch_peer();
+  void watch_for_peer_close();
   void on_readable();
 
   boost::beast::tcp_stream stream_;
@@ -73,11 +73,11 @@
   boost::beast::flat_buffer buffer_;
   std::function<void()> on_closed_;
   phase phase_ = phase::idle;
-  unsigned version_ = 11; // of the request being answered, as Beast writes it
+  unsigned version_ = 11; // HTTP version of the current request in Beast's encoding: 10 or 11
   bool keep_alive_ = true;
   bool head_only_ = false;
   bool response_open_ = false;
-  bool watching_ = false;
+  bool watching_for_close_ = false;
 };
 
 } // namespace wisteriaflow::http::internal
--- a/src/http/message.cc
+++ b/src/http/message.cc
@@ -13,7 +13,7 @@
 constexpr int hex_base = 16;
 constexpr std::size_t escape_size = 3; // "%2F"
 
-// Decodes percent escapes and, in queries, "+".
+// Decodes percent escapes, and "+" as a space, in a name or value of a query.
 std::string decode(std::string_view text)
 {
   std::string out;
@@ -54,12 +54,12 @@
 target_parts parse_target(std::string_view target)
 {
   target_parts parts;
-  const auto mark = target.find('?');
-  parts.path = std::string(target.substr(0, mark));
-  if (mark == std::string_view::npos) {
+  const auto question_mark = target.find('?');
+  parts.path = std::string(target.substr(0, question_mark));
+  if (question_mark == std::string_view::npos) {
     return parts;
   }
-  auto rest = target.substr(mark + 1);
+  auto rest = target.substr(question_mark + 1);
   while (!rest.empty()) {
     const auto end = rest.find('&');
     const auto pair = rest.substr(0, end);
--- a/src/http/server.cc
+++ b/src/http/server.cc
@@ -20,12 +20,12 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-// Pause after a failed accept, as when the process has no file descriptors left.
-constexpr std::chrono::milliseconds accept_pause{50};
+// Delay after a failed accept, for example because the process has no file descriptors left.
+constexpr std::chrono::milliseconds accept_retry_delay{50};
 
-// How long an idle connection is kept once the server drains. A request that was under way when
-// the draining began is still answered.
-constexpr std::chrono::milliseconds drain_idle_time{1000};
+// How long idle connections stay open once the server drains, so that a request that was in transit
+// when draining began is still answered.
+constexpr std::chrono::milliseconds drain_idle_timeout{1000};
 
 } // namespace
 
@@ -51,7 +51,7 @@
 
   [[nodiscard]] std::size_t open_requests() const { return state_->open_requests; }
 
-  void announce_close() { state_->draining = true; }
+  void disable_keep_alive() { state_->draining = true; }
 
   void stop_accepting()
   {
@@ -59,12 +59,12 @@
       return;
     }
     state_->draining = true;
-    accept_waiting();
+    accept_pending();
     error_code ec;
     acceptor_.close(ec);
-    drain_timer_.expires_after(drain_idle_time);
-    drain_timer_.async_wait([state = state_](error_code stopped) {
-      if (!stopped) {
+    drain_timer_.expires_after(drain_idle_timeout);
+    drain_timer_.async_wait([state = state_](error_code ec) {
+      if (!ec) {
         for_each_connection(*state, [](internal::connection& c) { c.close_if_idle(); });
       }
     });
@@ -83,14 +83,14 @@
   void listen()
   {
     try {
-      const auto& wanted = state_->options.address;
-      const tcp::endpoint endpoint(asio::ip::make_address(wanted.host), wanted.port);
+      const auto& requested = state_->options.address;
+      const tcp::endpoint endpoint(asio::ip::make_address(requested.host), requested.port);
       acceptor_.open(endpoint.protocol());
       acceptor_.set_option(tcp::acceptor::reuse_address(true));
       acceptor_.bind(endpoint);
       acceptor_.listen();
       acceptor_.non_blocking(true);
-      address_ = {.host = wanted.host, .port = acceptor_.local_endpoint().port()};
+      address_ = {.host = requested.host, .port = acceptor_.local_endpoint().port()};
     } catch (const boost::system::system_error& e) {
       throw http_error("cannot listen on " + to_string(state_->options.address) + ": " + e.what());
     }
@@ -104,50 +104,51 @@
       error_code ec;
       co_await acceptor_.async_accept(socket, asio::redirect_error(asio::use_awaitable, ec));
       if (!ec) {
-        admit(std::move(socket));
+        start_connection(std::move(socket));
         continue;
       }
       if (!acceptor_.is_open()) {
         break;
       }
-      asio::steady_timer pause(context_, accept_pause);
-      co_await pause.async_wait(asio::redirect_error(asio::use_awaitable, ec));
+      asio::steady_timer retry_timer(context_, accept_retry_delay);
+      co_await retry_timer.async_wait(asio::redirect_error(asio::use_awaitable, ec));
     }
   }
 
-  // Takes in what the kernel has accepted already: closing the listener would reset it.
-  void accept_waiting()
+  // Accepts the connections that the kernel has already established: closing the listener would
+  // reset them.
+  void accept_pending()
   {
     error_code ec;
     while (!ec && acceptor_.is_open()) {
       tcp::socket socket(context_);
       acceptor_.accept(socket, ec);
       if (!ec) {
-        admit(std::move(socket));
+        start_connection(std::move(socket));
       }
     }
   }
 
-  void admit(tcp::socket socket)
+  void start_connection(tcp::socket socket)
   {
     if (state_->connections.size() >= state_->options.connection_limit) {
-      return; // the socket closes as it goes out of scope
+      return; // the destructor closes the socket
     }
     auto accepted = std::make_shared<internal::connection>(std::move(socket), state_);
     asio::co_spawn(
         context_, [accepted] { return accepted->run(); }, asio::detached);
   }
 
-  // Copies the list first: a connection may leave it meanwhile.
-  template <typename action>
-  static void for_each_connection(internal::server_state& state, action act)
+  // Iterates over a copy, because `apply` may remove connections from the set.
+  template <typename function>
+  static void for_each_connection(internal::server_state& state, function apply)
   {
-    std::vector<std::shared_ptr<internal::connection>> all;
-    for (auto* each : state.connections) {
-      all.push_back(each->shared_from_this());
+    std::vector<std::shared_ptr<internal::connection>> snapshot;
+    for (auto* open : state.connections) {
+      snapshot.push_back(open->shared_from_this());
     }
-    for (const auto& each : all) {
-      act(*each);
+    for (const auto& open : snapshot) {
+      apply(*open);
     }
   }
 
@@ -180,9 +181,9 @@
   return implementation_->open_requests();
 }
 
-void server::announce_close()
+void server::disable_keep_alive()
 {
-  implementation_->announce_close();
+  implementation_->disable_keep_alive();
 }
 
 void server::stop_accepting()
--- a/src/relay/attempt.cc
+++ b/src/relay/attempt.cc
@@ -68,14 +68,14 @@
   count_retry();
   http::stream_observer observer;
   observer.on_head = [this](const http::response& head) { on_head(head); };
-  observer.write_bytes = [this, &writer](std::string_view bytes) {
+  observer.on_bytes_async = [this, &writer](std::string_view bytes) {
     return on_body_bytes(bytes, writer);
   };
   observer.is_expected = [this](const http::response& head) {
     const auto id = adapter::decode_answer(head).request_id;
     return id.empty() || id == call_.description.request_id;
   };
-  call_.exchange = std::make_shared<http::exchange>();
+  call_.exchange = std::make_shared<http::cancel_handle>();
   arm_silence_timer();
   try {
     co_await client_.stream(endpoint_.address, std::move(message), call_.deadline,
--- a/src/relay/attempt.h
+++ b/src/relay/attempt.h
@@ -54,7 +54,7 @@
   bool usage_counted = false;                 // the call is counted in its workspace's usage
 
   bool caller_gone = false;
-  std::shared_ptr<http::exchange> exchange; // of the current attempt
+  std::shared_ptr<http::cancel_handle> exchange; // of the current attempt
 };
 
 // How one attempt ended.
--- a/src/relay/call_relay.cc
+++ b/src/relay/call_relay.cc
@@ -40,8 +40,8 @@
                         .idle_timeout = max_idle_time,
                         .connect_timeout = connect_timeout,
                         .unacknowledged_timeout = unacknowledged_timeout,
-                        .repeat_stale_get = false,
-                        .only_stated_keep_alive = true}),
+                        .retry_stale_get = false,
+                        .require_keep_alive_timeout = true}),
       crash_detector_(context, state), log_(state), random_(state.seed())
 {
 }
@@ -86,7 +86,7 @@
                      .configuration = state_.configuration(),
                      .received_at = now};
   if (!call.configuration || !state_.endpoints.has_list()) {
-    return call_refusal{http::status::unavailable, "no configuration yet",
+    return call_refusal{http::status::service_unavailable, "no configuration yet",
                         now + not_ready_retry_delay};
   }
   call.route = call.configuration->match(call.description.host, call.description.path);
@@ -107,7 +107,7 @@
   const auto leaving = state_.draining_since();
   const bool stream = call.route->kind == gateway::call_kind::stream;
   if (leaving && stream && now > *leaving + stream_cutoff_after_drain) {
-    return call_refusal{http::status::unavailable, "this daemon is about to end",
+    return call_refusal{http::status::service_unavailable, "this daemon is about to end",
                         now + other_daemon_retry_delay};
   }
   call.deadline = now + call.route->timeout;
@@ -339,7 +339,7 @@
     state_.quota.refund(call.workspace, call.quota_units, now);
   }
   std::optional<mono_time> retry_at;
-  if (status == http::status::unavailable) {
+  if (status == http::status::service_unavailable) {
     retry_at =
         gateway::retry_time({.now = now, .open_at = why.retry_at, .rank = call.priority}, random_);
   }
--- a/src/relay/duties.cc
+++ b/src/relay/duties.cc
@@ -72,7 +72,7 @@
 
 leader_duties::leader_duties(asio::io_context& context, fleet_state& state, store_client& store)
     : context_(context), state_(state), store_(store),
-      client_(context, {.connect_timeout = cloud_timeout, .repeat_stale_get = false}),
+      client_(context, {.connect_timeout = cloud_timeout, .retry_stale_get = false}),
       lease_(context, state, store), planner_({.settle_time = planner_settle_time(state.options)})
 {
 }
--- a/src/relay/gateway_daemon.cc
+++ b/src/relay/gateway_daemon.cc
@@ -117,7 +117,7 @@
     log_.write(daemon::log_level::info, "draining",
                {{"open_calls", std::to_string(relay_.open_calls())}});
     state_.begin_drain(std::chrono::steady_clock::now());
-    callers_.announce_close();
+    callers_.disable_keep_alive();
     asio::co_spawn(context_, finish_drain(), asio::detached);
   }
 
@@ -165,7 +165,7 @@
     http::response out{.status = http::status::not_found};
     if (const auto question = adapter::decode_address_query(request)) {
       const auto addresses = addresses_for(question->zone);
-      out = addresses.empty() ? http::response{.status = http::status::unavailable}
+      out = addresses.empty() ? http::response{.status = http::status::service_unavailable}
                               : adapter::encode_addresses(addresses, address_validity);
     }
     co_await writer.send(std::move(out));
@@ -193,7 +193,7 @@
   {
     http::response out{.status = http::status::not_found};
     if (adapter::is_readiness_check(request)) {
-      out.status = state_.is_ready() ? http::status::ok : http::status::unavailable;
+      out.status = state_.is_ready() ? http::status::ok : http::status::service_unavailable;
     }
     co_await writer.send(std::move(out));
   }
--- a/src/relay/lease_keeper.cc
+++ b/src/relay/lease_keeper.cc
@@ -77,7 +77,7 @@
 {
   timespec since_boot{};
   ::clock_gettime(CLOCK_BOOTTIME, &since_boot);
-  return {.running = std::chrono::steady_clock::now(),
+  return {.monotonic = std::chrono::steady_clock::now(),
           .since_boot = std::chrono::seconds(since_boot.tv_sec) +
                         std::chrono::nanoseconds(since_boot.tv_nsec)};
 }
@@ -123,7 +123,7 @@
 
 void lease_keeper::report_suspension()
 {
-  const auto before = std::exchange(last_suspended_, clock_.suspended());
+  const auto before = std::exchange(last_suspended_, clock_.suspended_duration());
   const auto gap = std::chrono::duration_cast<milliseconds>(last_suspended_ - before);
   if (gap < min_reported_suspension) {
     return;
--- a/src/relay/peer_sync.cc
+++ b/src/relay/peer_sync.cc
@@ -77,7 +77,7 @@
 
 peer_sync::peer_sync(asio::io_context& context, fleet_state& state)
     : context_(context), state_(state),
-      client_(context, {.connect_timeout = exchange_timeout, .repeat_stale_get = false}),
+      client_(context, {.connect_timeout = exchange_timeout, .retry_stale_get = false}),
       server_(context, {.address = state.options.peers},
               [this](http::request request, http::response_writer& w) {
                 return serve(std::move(request), w);
@@ -365,7 +365,7 @@
   const auto grant = state_.quota.grant(q.workspace, q.min_units, q.wanted_units,
                                         std::chrono::steady_clock::now());
   if (!grant) {
-    return {.status = http::status::unavailable};
+    return {.status = http::status::service_unavailable};
   }
   return {.status = http::status::ok, .body = encode_quota_grant(*grant)};
 }
--- a/src/relay/settings.cc
+++ b/src/relay/settings.cc
@@ -31,7 +31,7 @@
     for (const auto& [where, value] : values_) {
       if (!requested_keys_.contains(where)) {
         throw settings_error(
-            ini_fault(name_, where, value, "unknown key; docs/REFERENCE.md lists them"));
+            ini_error_message(name_, where, value, "unknown key; docs/REFERENCE.md lists them"));
       }
     }
   }
@@ -132,8 +132,8 @@
   [[noreturn]] void fail(const char* section, const char* key, const std::string& value,
                          const char* allowed) const
   {
-    throw settings_error(ini_fault(name_, {.section = section, .key = key}, value,
-                                   std::string("allowed: ") + allowed));
+    throw settings_error(ini_error_message(name_, {.section = section, .key = key}, value,
+                                           std::string("allowed: ") + allowed));
   }
 
   std::string name_;
--- a/src/relay/store_client.cc
+++ b/src/relay/store_client.cc
@@ -40,7 +40,7 @@
     : client_(context, {.body_limit = max_response_bytes,
                         .connect_timeout = connect_timeout,
                         .unacknowledged_timeout = unacknowledged_timeout,
-                        .repeat_stale_get = false}),
+                        .retry_stale_get = false}),
       state_(state), retries_({}, state.seed())
 {
 }
--- a/src/tools/wisteriaflow_gatewayd.cc
+++ b/src/tools/wisteriaflow_gatewayd.cc
@@ -1,10 +1,11 @@
-// wisteriaflow-gatewayd: the daemon that forwards opaque HTTP calls on the users' platform.
+// wisteriaflow-gatewayd: the gateway daemon, which forwards opaque HTTP calls to the endpoints of
+// the users' platform.
 //
 //   wisteriaflow-gatewayd --config=/etc/wisteriaflow-gateway.ini
 //   wisteriaflow-gatewayd --config=/etc/wisteriaflow-gateway.ini --validate
 //
-// Logs are JSON lines on standard output. SIGTERM and SIGINT drain. Exit codes: 0 drained, 1 usage,
-// 2 settings, 3 cannot start.
+// Writes its log as JSON lines to standard output. SIGTERM and SIGINT drain the daemon and end it.
+// Exit codes: 0 drained, 1 usage error, 2 invalid settings, 3 cannot start.
 
 #include <csignal>
 #include <cstdlib>
@@ -26,8 +27,8 @@
 namespace {
 
 constexpr int exit_usage = 1;
-constexpr int exit_settings = 2;
-constexpr int exit_start = 3;
+constexpr int exit_invalid_settings = 2;
+constexpr int exit_start_failure = 3;
 
 int run(const wisteriaflow::relay::settings& s)
 {
@@ -62,9 +63,9 @@
     return run(s);
   } catch (const wisteriaflow::relay::settings_error& e) {
     std::cerr << "wisteriaflow-gatewayd: " << e.what() << "\n";
-    return exit_settings;
+    return exit_invalid_settings;
   } catch (const std::exception& e) {
     std::cerr << "wisteriaflow-gatewayd: cannot start: " << e.what() << "\n";
-    return exit_start;
+    return exit_start_failure;
   }
 }
--- a/src/tools/wisteriaflowctl.cc
+++ b/src/tools/wisteriaflowctl.cc
@@ -1,5 +1,6 @@
-// The operators' tool: reads and edits declared configuration in the platform's object API, and
-// asks daemons what they decide. Results go to standard output, errors to standard error.
+// wisteriaflowctl: the command line tool for operators. It reads and edits the declared
+// configuration in the platform's object API, and queries daemons for the state of the fleet and
+// for the reasons of routing decisions. Results go to standard output, errors to standard error.
 
 #include <chrono>
 #include <cstdlib>
@@ -35,7 +36,7 @@
 
 // The exit codes are documented in command_summary().
 enum exit_code : int {
-  exit_done = 0,
+  exit_success = 0,
   exit_usage = 1,
   exit_invalid_input = 2,
   exit_not_found = 3,
@@ -46,10 +47,10 @@
 
 std::string default_author()
 {
-  auto named = absl::GetFlag(FLAGS_as);
+  auto author = absl::GetFlag(FLAGS_as);
   const char* user = std::getenv("USER");
-  if (!named.empty()) {
-    return named;
+  if (!author.empty()) {
+    return author;
   }
   return user == nullptr ? "unknown" : user;
 }
@@ -96,11 +97,11 @@
   return code;
 }
 
-int run(const std::vector<std::string>& words)
+int run(const std::vector<std::string>& arguments)
 {
   try {
-    run_command(read_settings(), words);
-    return exit_done;
+    run_command(read_settings(), arguments);
+    return exit_success;
   } catch (const usage_error& e) {
     return fail(exit_usage, e);
   } catch (const platform::invalid_input_error& e) {
--- a/src/tools/wisteriaflowctl_commands.cc
+++ b/src/tools/wisteriaflowctl_commands.cc
@@ -19,12 +19,12 @@
 
 namespace asio = boost::asio;
 using platform::canonical_kind;
-using words = std::vector<std::string>;
+using string_list = std::vector<std::string>;
 
-// What the subcommands share: one io_context, run until the command is done.
-class session {
+// Clients and settings for one subcommand, with an io_context that runs until the command is done.
+class command_context {
  public:
-  explicit session(const ctl_settings& settings)
+  explicit command_context(const ctl_settings& settings)
       : settings_(settings), api_(client_, settings.platform),
         commands_(api_, {.author = settings.author, .deadline = settings.deadline}),
         queries_(client_, settings.daemon)
@@ -51,10 +51,10 @@
   platform::operator_queries queries_;
 };
 
-void require_count(const words& arguments, std::size_t least, std::size_t most,
+void require_count(const string_list& arguments, std::size_t min_count, std::size_t max_count,
                    const std::string& usage)
 {
-  if (arguments.size() < least || arguments.size() > most) {
+  if (arguments.size() < min_count || arguments.size() > max_count) {
     throw usage_error("usage: wisteriaflowctl " + usage);
   }
 }
@@ -74,7 +74,7 @@
   return {std::istreambuf_iterator<char>(in), {}};
 }
 
-void get(session& s, const words& arguments)
+void get(command_context& s, const string_list& arguments)
 {
   require_count(arguments, 0, 2, "get [KIND] [NAME]");
   auto kind = arguments.empty() ? std::string() : canonical_kind(arguments[0]);
@@ -82,14 +82,14 @@
   print_objects(s.settings().format, s.await(s.commands().get(std::move(kind), std::move(name))));
 }
 
-void apply(session& s, const words& arguments)
+void apply(command_context& s, const string_list& arguments)
 {
   require_count(arguments, 0, 0, "apply --file=PATH");
   auto documents = platform::parse_documents(read_file(s.settings().file));
   print_changes(s.settings().format, s.await(s.commands().apply(std::move(documents))));
 }
 
-void validate(session& s, const words& arguments)
+void validate(command_context& s, const string_list& arguments)
 {
   require_count(arguments, 0, 0, "validate --file=PATH");
   const auto documents = platform::parse_documents(read_file(s.settings().file));
@@ -97,10 +97,10 @@
   print_answer(s.settings().format, {{"valid", true}, {"objects", documents.size()}});
 }
 
-void label(session& s, const words& arguments)
+void label(command_context& s, const string_list& arguments)
 {
-  constexpr std::size_t most_edits = 100;
-  require_count(arguments, 3, 2 + most_edits, "label KIND NAME KEY=VALUE|KEY- ...");
+  constexpr std::size_t max_edits = 100;
+  require_count(arguments, 3, 2 + max_edits, "label KIND NAME KEY=VALUE|KEY- ...");
   platform::object_reference target{.kind = canonical_kind(arguments[0]), .name = arguments[1]};
   std::vector<platform::label_edit> edits;
   for (auto it = arguments.begin() + 2; it != arguments.end(); ++it) {
@@ -111,7 +111,7 @@
   print_changes(s.settings().format, {changed});
 }
 
-void remove(session& s, const words& arguments)
+void remove(command_context& s, const string_list& arguments)
 {
   require_count(arguments, 2, 2, "delete KIND NAME");
   platform::object_reference target{.kind = canonical_kind(arguments[0]), .name = arguments[1]};
@@ -120,7 +120,7 @@
   print_changes(s.settings().format, {changed});
 }
 
-void audit(session& s, const words& arguments)
+void audit(command_context& s, const string_list& arguments)
 {
   require_count(arguments, 0, 1, "audit [NAME]");
   const auto trail = s.await(s.commands().audit(arguments.empty() ? std::string() : arguments[0]));
@@ -130,7 +130,7 @@
   }
 }
 
-void explain(session& s, const words& arguments)
+void explain(command_context& s, const string_list& arguments)
 {
   require_count(arguments, 0, 0, "explain --workspace=W [--labels=K=V,...] [--model=M]");
   if (s.settings().explain.workspace.empty()) {
@@ -141,7 +141,7 @@
                s.await(s.queries().explain(std::move(query), s.settings().deadline)));
 }
 
-void fleet(session& s, const words& arguments)
+void fleet(command_context& s, const string_list& arguments)
 {
   require_count(arguments, 0, 0, "fleet");
   print_answer(s.settings().format, s.await(s.queries().fleet(s.settings().deadline)));
@@ -149,7 +149,7 @@
 
 struct subcommand {
   std::string_view name;
-  void (*run)(session&, const words&);
+  void (*run)(command_context&, const string_list&);
 };
 
 constexpr std::array<subcommand, 8> subcommands{{{"get", get},
@@ -163,19 +163,19 @@
 
 } // namespace
 
-void run_command(const ctl_settings& settings, const words& all)
+void run_command(const ctl_settings& settings, const string_list& arguments)
 {
-  if (all.empty()) {
+  if (arguments.empty()) {
     throw usage_error("a subcommand is needed\n" + std::string(command_summary()));
   }
-  for (const auto& each : subcommands) {
-    if (each.name == all[0]) {
-      session s(settings);
-      each.run(s, {all.begin() + 1, all.end()});
+  for (const auto& candidate : subcommands) {
+    if (candidate.name == arguments[0]) {
+      command_context s(settings);
+      candidate.run(s, {arguments.begin() + 1, arguments.end()});
       return;
     }
   }
-  throw usage_error("unknown subcommand " + all[0] + "\n" + std::string(command_summary()));
+  throw usage_error("unknown subcommand " + arguments[0] + "\n" + std::string(command_summary()));
 }
 
 std::string_view command_summary()
--- a/src/tools/wisteriaflowctl_commands.h
+++ b/src/tools/wisteriaflowctl_commands.h
@@ -1,4 +1,4 @@
-// The subcommands of wisteriaflowctl.
+// Runs the subcommands of wisteriaflowctl.
 
 #ifndef WISTERIAFLOW_SRC_TOOLS_WISTERIAFLOWCTL_COMMANDS_H_
 #define WISTERIAFLOW_SRC_TOOLS_WISTERIAFLOWCTL_COMMANDS_H_
@@ -18,13 +18,13 @@
 
 namespace wisteriaflow::tools {
 
-// The command line is not one that the tool knows.
+// Thrown for an invalid command line.
 class usage_error : public error {
  public:
   using error::error;
 };
 
-// What the flags say.
+// Values of the command line flags.
 struct ctl_settings {
   http::socket_address platform;
   http::socket_address daemon;
@@ -36,11 +36,11 @@
   mono_time deadline;
 };
 
-// Runs the subcommand that stands first in `words`, with the rest as its arguments, and prints the
-// result. Throws usage_error, or what the command throws.
-void run_command(const ctl_settings& settings, const std::vector<std::string>& words);
+// Runs the subcommand named by the first of `arguments` with the remaining ones, and prints the
+// result. Throws usage_error, and the exceptions of the subcommand.
+void run_command(const ctl_settings& settings, const std::vector<std::string>& arguments);
 
-// One line for each subcommand.
+// Returns the help text with the subcommands, object kinds and exit codes.
 [[nodiscard]] std::string_view command_summary();
 
 } // namespace wisteriaflow::tools
--- a/src/tools/wisteriaflowctl_output.cc
+++ b/src/tools/wisteriaflowctl_output.cc
@@ -62,9 +62,10 @@
   const auto kind_text = kind == nullptr ? "" : text_of(*kind);
   try {
     const auto metadata = objects::decode_metadata(document);
-    const auto who = metadata.annotations.find(std::string(objects::changed_by_annotation));
+    const auto changed_by = metadata.annotations.find(std::string(objects::changed_by_annotation));
     return {kind_text, metadata.name, std::to_string(metadata.revision),
-            who == metadata.annotations.end() ? "" : who->second, to_string(metadata.labels)};
+            changed_by == metadata.annotations.end() ? "" : changed_by->second,
+            to_string(metadata.labels)};
   } catch (const objects::objects_error& e) {
     return {kind_text, "(unreadable)", "", "", e.what()};
   }
@@ -77,7 +78,8 @@
          std::all_of(value.get_array().begin(), value.get_array().end(), is_object);
 }
 
-// One column for each field that any of the items has, in the order of appearance.
+// Prints a table with one column for each field that any item has, in the order of first
+// appearance.
 void print_items(const json::array& items)
 {
   row headings;
--- a/src/tools/wisteriaflowd.cc
+++ b/src/tools/wisteriaflowd.cc
@@ -1,10 +1,11 @@
-// wisteriaflowd: the daemon that runs on every entry instance.
+// wisteriaflowd: the daemon that runs on every instance that receives requests from callers.
 //
 //   wisteriaflowd --config=/etc/wisteriaflow.ini
 //   wisteriaflowd --config=/etc/wisteriaflow.ini --validate
 //
-// Prints "callers IP:port peers IP:port" on standard output once it listens; logs are JSON lines
-// there, too. SIGTERM and SIGINT drain. Exit codes: 0 drained, 1 usage, 2 settings, 3 cannot start.
+// Prints "callers IP:port peers IP:port" to standard output once it listens, and writes its log
+// there as JSON lines, too. SIGTERM and SIGINT drain the daemon and end it. Exit codes: 0 drained,
+// 1 usage error, 2 invalid settings, 3 cannot start.
 
 #include <csignal>
 #include <cstdlib>
@@ -30,8 +31,8 @@
 namespace {
 
 constexpr int exit_usage = 1;
-constexpr int exit_settings = 2;
-constexpr int exit_start = 3;
+constexpr int exit_invalid_settings = 2;
+constexpr int exit_start_failure = 3;
 
 void describe()
 {
@@ -41,7 +42,7 @@
   }
 }
 
-// Waits for a signal on a thread of its own; the daemon's threads have it blocked.
+// Waits for a signal on a separate thread; all other threads block these signals.
 void drain_on_signal(const sigset_t& signals, wisteriaflow::daemon::daemon& d)
 {
   std::thread([signals, &d] {
@@ -53,7 +54,7 @@
 
 int run(const wisteriaflow::daemon::settings& s)
 {
-  // Before any thread starts, so that all inherit it.
+  // Blocks the signals before any thread starts, so that all threads inherit the mask.
   sigset_t signals;
   sigemptyset(&signals);
   sigaddset(&signals, SIGTERM);
@@ -99,12 +100,12 @@
     return run(s);
   } catch (const wisteriaflow::daemon::settings_error& e) {
     std::cerr << "wisteriaflowd: " << e.what() << "\n";
-    return exit_settings;
+    return exit_invalid_settings;
   } catch (const wisteriaflow::error& e) {
     std::cerr << "wisteriaflowd: " << e.what() << "\n";
-    return exit_start;
+    return exit_start_failure;
   } catch (const std::exception& e) {
     std::cerr << "wisteriaflowd: unexpected: " << e.what() << "\n";
-    return exit_start;
+    return exit_start_failure;
   }
 }
--- a/test/base/deflate_test.cc
+++ b/test/base/deflate_test.cc
@@ -10,7 +10,7 @@
 
 constexpr std::size_t limit = std::size_t{1} << 20U;
 
-RC_GTEST_PROP(DeflatePropertyTest, InflateGivesTheTextBack, (const std::string& text))
+RC_GTEST_PROP(DeflatePropertyTest, InflateRestoresTheText, (const std::string& text))
 {
   RC_ASSERT(inflate(deflate(text), limit) == text);
 }
@@ -24,7 +24,7 @@
   }
 }
 
-TEST(DeflateTest, GivesALongTextBack)
+TEST(DeflateTest, RestoresALongText)
 {
   std::string text;
   for (int i = 0; i < 20'000; ++i) {
@@ -33,7 +33,7 @@
   EXPECT_EQ(inflate(deflate(text), limit), text);
 }
 
-TEST(DeflateTest, PacksWhatRepeats)
+TEST(DeflateTest, CompressesRepetitiveText)
 {
   EXPECT_LT(deflate(std::string(4'000, 'x')).size(), 100U);
 }
@@ -43,10 +43,10 @@
   EXPECT_THROW(static_cast<void>(inflate(deflate(std::string(4'000, 'x')), 3'999)), deflate_error);
 }
 
-TEST(DeflateTest, RejectsATextThatIsCutShort)
+TEST(DeflateTest, RejectsTruncatedInput)
 {
-  const auto packed = deflate("a text of some length");
-  EXPECT_THROW(static_cast<void>(inflate(packed.substr(0, packed.size() - 3), limit)),
+  const auto compressed = deflate("a text of some length");
+  EXPECT_THROW(static_cast<void>(inflate(compressed.substr(0, compressed.size() - 3), limit)),
                deflate_error);
 }
 
--- a/test/base/hash_test.cc
+++ b/test/base/hash_test.cc
@@ -8,7 +8,7 @@
 namespace wisteriaflow {
 namespace {
 
-// The member of `members` that owns `key`.
+// Returns the member of `members` that owns `key`.
 std::string owner_of(std::uint64_t key, const std::vector<std::string>& members)
 {
   std::string best;
@@ -25,19 +25,21 @@
 
 TEST(HashTest, IsTheSameInEveryProcess)
 {
-  // Ownership of stored claims depends on it, so a change of library must not change it.
+  // The ownership of stored claims depends on these values, so they must survive an upgrade of the
+  // hash library.
   EXPECT_EQ(hash64_of("wisteriaflow"), hash64_of(std::string("wisteria") + "flow"));
   EXPECT_EQ(hash64_of(""), 3244421341483603138ULL);
 }
 
-TEST(HashTest, RendezvousMovesOnlyTheKeysOfALostMember)
+TEST(HashTest, RendezvousMovesOnlyTheKeysOfARemovedMember)
 {
   const std::vector<std::string> before = {"a", "b", "c", "d"};
   const std::vector<std::string> after = {"a", "b", "d"};
   for (std::uint64_t key = 0; key < 1000; ++key) {
-    const auto was = owner_of(key, before);
-    if (was != "c") {
-      EXPECT_EQ(owner_of(key, after), was) << "key " << key << " moved without need";
+    const auto old_owner = owner_of(key, before);
+    if (old_owner != "c") {
+      EXPECT_EQ(owner_of(key, after), old_owner)
+          << "key " << key << " moved although its owner remained";
     }
   }
 }
--- a/test/base/ini_file_test.cc
+++ b/test/base/ini_file_test.cc
@@ -13,8 +13,8 @@
   return read_ini(in, "file.ini");
 }
 
-// The message with which `text` is rejected.
-std::string fault_of(const std::string& text)
+// Returns the error message for `text`, or an empty string if it is valid.
+std::string error_message_of(const std::string& text)
 {
   try {
     static_cast<void>(read(text));
@@ -26,19 +26,19 @@
 
 TEST(IniFileTest, FindsValuesBySectionAndKey)
 {
-  const ini_values wanted = {{{.section = "a", .key = "x"}, "1"},
-                             {{.section = "b", .key = "x"}, "2"}};
-  EXPECT_EQ(read("[a]\nx = 1\n[b]\nx = 2\n"), wanted);
+  const ini_values expected = {{{.section = "a", .key = "x"}, "1"},
+                               {{.section = "b", .key = "x"}, "2"}};
+  EXPECT_EQ(read("[a]\nx = 1\n[b]\nx = 2\n"), expected);
 }
 
-TEST(IniFileTest, RejectsALineThatIsNoKeyWithTheLinesNumber)
+TEST(IniFileTest, ReportsTheNumberOfALineWithoutAKey)
 {
-  EXPECT_EQ(fault_of("[a]\nnothing\n").find("file.ini: line 2: "), 0U);
+  EXPECT_EQ(error_message_of("[a]\nnothing\n").find("file.ini: line 2: "), 0U);
 }
 
 TEST(IniFileTest, RejectsAKeyOutsideAnySection)
 {
-  EXPECT_NE(fault_of("x = 1\n").find("key 'x' = '1'"), std::string::npos);
+  EXPECT_NE(error_message_of("x = 1\n").find("key 'x' = '1'"), std::string::npos);
 }
 
 } // namespace
--- a/test/base/text_test.cc
+++ b/test/base/text_test.cc
@@ -5,19 +5,19 @@
 namespace wisteriaflow {
 namespace {
 
-TEST(TextTest, SplitsAndTrimsAndLeavesEmptyPartsOut)
+TEST(TextTest, SplitsTrimsAndOmitsEmptyParts)
 {
   const std::vector<std::string_view> parts = {"a", "b c"};
   EXPECT_EQ(split(" a ,, b c,", ','), parts);
 }
 
-TEST(TextTest, ComparesWithoutCase)
+TEST(TextTest, ComparesIgnoringCase)
 {
   EXPECT_TRUE(equals_ignoring_case("Keep-Alive", "keep-alive"));
   EXPECT_FALSE(equals_ignoring_case("Keep", "Keep-Alive"));
 }
 
-TEST(TextTest, TakesNoNumberWithARest)
+TEST(TextTest, RejectsANumberWithTrailingCharacters)
 {
   EXPECT_EQ(parse_number<int>("12"), 12);
   EXPECT_EQ(parse_number<int>("12x"), std::nullopt);
--- a/test/gateway_system/soak_calls.cc
+++ b/test/gateway_system/soak_calls.cc
@@ -38,7 +38,7 @@
 // Statuses that guarantee that the request has not run and will not run.
 bool promises_not_run(int status)
 {
-  return status == http::status::unavailable || status == http::status::too_many_requests ||
+  return status == http::status::service_unavailable || status == http::status::too_many_requests ||
          status == 408 || status == 421;
 }
 
--- a/test/http/client_reuse_test.cc
+++ b/test/http/client_reuse_test.cc
@@ -21,12 +21,12 @@
 namespace asio = boost::asio;
 using asio::ip::tcp;
 
-// A server that answers each request on a connection with the next of some raw texts.
+// Runs a server that answers each request with the next of a list of raw responses.
 class ClientReuseTest : public testing::Test {
  protected:
-  void answer_with(std::vector<std::string> texts)
+  void serve_responses(std::vector<std::string> responses)
   {
-    texts_ = std::move(texts);
+    raw_responses_ = std::move(responses);
     address_.port = acceptor_.local_endpoint().port();
     asio::co_spawn(context_, accept(), asio::detached);
   }
@@ -36,8 +36,8 @@
     return fakes::call(context_, c, address_, std::move(message));
   }
 
-  // The connections that stand now give no answer any more, and stay open; new ones work.
-  void silence() { silent_up_to_ = connections_; }
+  // From now on, the current connections stay open without any response; new connections work.
+  void stop_answering_current_connections() { last_unanswered_connection_ = connections_; }
 
   asio::io_context context_;
   tcp::acceptor acceptor_{context_, {asio::ip::make_address("127.0.0.1"), 0}};
@@ -54,49 +54,50 @@
     }
   }
 
-  asio::awaitable<void> serve(tcp::socket socket, int number)
+  asio::awaitable<void> serve(tcp::socket socket, int connection_number)
   {
     std::string buf(4096, ' ');
     boost::system::error_code ec;
-    while (next_ < texts_.size()) {
+    while (next_ < raw_responses_.size()) {
       co_await socket.async_read_some(asio::buffer(buf),
                                       asio::redirect_error(asio::use_awaitable, ec));
       if (ec) {
         co_return;
       }
-      if (number <= silent_up_to_) {
+      if (connection_number <= last_unanswered_connection_) {
         continue;
       }
-      const auto text = texts_.at(next_++);
-      co_await asio::async_write(socket, asio::buffer(text),
+      const auto response_text = raw_responses_.at(next_++);
+      co_await asio::async_write(socket, asio::buffer(response_text),
                                  asio::redirect_error(asio::use_awaitable, ec));
     }
   }
 
-  std::vector<std::string> texts_;
+  std::vector<std::string> raw_responses_;
   std::size_t next_ = 0;
-  int silent_up_to_ = 0;
+  int last_unanswered_connection_ = 0;
 };
 
-std::string whole(const std::string& fields, const std::string& body)
+std::string ok_response(const std::string& fields, const std::string& body)
 {
   return "HTTP/1.1 200 OK\r\n" + fields + "Content-Length: " + std::to_string(body.size()) +
          "\r\n\r\n" + body;
 }
 
-TEST_F(ClientReuseTest, ReusesAConnectionWithoutAStatedTimeByDefault)
+TEST_F(ClientReuseTest, ReusesAConnectionWithoutKeepAliveTimeoutByDefault)
 {
-  answer_with({whole("", "a"), whole("", "b")});
+  serve_responses({ok_response("", "a"), ok_response("", "b")});
   client c(context_);
   call(c);
   EXPECT_EQ(call(c).body, "b");
   EXPECT_EQ(connections_, 1);
 }
 
-TEST_F(ClientReuseTest, ReusesOnlyWithinAStatedTimeIfTold)
+TEST_F(ClientReuseTest, ReusesOnlyWithinTheKeepAliveTimeoutIfRequired)
 {
-  answer_with({whole("", "a"), whole("Keep-Alive: timeout=5\r\n", "b"), whole("", "c")});
-  client c(context_, {.only_stated_keep_alive = true});
+  serve_responses(
+      {ok_response("", "a"), ok_response("Keep-Alive: timeout=5\r\n", "b"), ok_response("", "c")});
+  client c(context_, {.require_keep_alive_timeout = true});
   call(c);
   call(c);
   EXPECT_EQ(connections_, 2);
@@ -104,9 +105,9 @@
   EXPECT_EQ(connections_, 2);
 }
 
-TEST_F(ClientReuseTest, DropsAConnectionWithBytesBeyondTheResponse)
+TEST_F(ClientReuseTest, ClosesAConnectionWithBytesAfterTheResponse)
 {
-  answer_with({whole("", "a") + "stray", whole("", "b")});
+  serve_responses({ok_response("", "a") + "stray", ok_response("", "b")});
   client c(context_);
   call(c);
   EXPECT_EQ(call(c).body, "b");
@@ -115,7 +116,7 @@
 
 TEST_F(ClientReuseTest, SkipsAResponseThatIsNotExpected)
 {
-  answer_with({whole("Id: old\r\n", "old") + whole("Id: new\r\n", "new")});
+  serve_responses({ok_response("Id: old\r\n", "old") + ok_response("Id: new\r\n", "new")});
   client c(context_);
   std::string body;
   stream_observer observer;
@@ -127,36 +128,36 @@
   EXPECT_EQ(body, "new");
 }
 
-TEST_F(ClientReuseTest, OneSilentConnectionTakesTheOtherIdleOnesWithIt)
+TEST_F(ClientReuseTest, AnUnresponsiveConnectionClosesTheOtherIdleOnes)
 {
-  answer_with({whole("", "a"), whole("", "b"), whole("", "c")});
+  serve_responses({ok_response("", "a"), ok_response("", "b"), ok_response("", "c")});
   client c(context_);
-  const auto twice = [&]() -> asio::awaitable<void> {
-    // The first call still has its connection when the second begins.
+  const auto overlapping_calls = [&]() -> asio::awaitable<void> {
+    // The first call still uses its connection when the second begins, so a second one is opened.
     stream_observer observer;
-    observer.write_bytes = [&](std::string_view) -> asio::awaitable<void> {
+    observer.on_bytes_async = [&](std::string_view) -> asio::awaitable<void> {
       request second;
       co_await c.call(address_, std::move(second), fakes::far_deadline());
     };
     request first;
     co_await c.stream(address_, std::move(first), fakes::far_deadline(), observer);
   };
-  fakes::run(context_, twice());
+  fakes::run(context_, overlapping_calls());
   ASSERT_EQ(connections_, 2);
-  silence();
-  const auto soon = std::chrono::steady_clock::now() + std::chrono::milliseconds(50);
-  const auto in_vain = [&]() -> asio::awaitable<void> {
+  stop_answering_current_connections();
+  const auto deadline = std::chrono::steady_clock::now() + std::chrono::milliseconds(50);
+  const auto timed_out_call = [&]() -> asio::awaitable<void> {
     request third;
-    co_await c.call(address_, std::move(third), soon);
+    co_await c.call(address_, std::move(third), deadline);
   };
-  EXPECT_THROW(fakes::run(context_, in_vain()), exchange_timeout_error);
+  EXPECT_THROW(fakes::run(context_, timed_out_call()), exchange_timeout_error);
   EXPECT_EQ(call(c).body, "c");
   EXPECT_EQ(connections_, 3);
 }
 
-TEST_F(ClientReuseTest, TakesABodyThatEndsWithItsConnection)
+TEST_F(ClientReuseTest, AcceptsABodyThatEndsWhenTheConnectionCloses)
 {
-  answer_with({"HTTP/1.1 200 OK\r\n\r\nall"});
+  serve_responses({"HTTP/1.1 200 OK\r\n\r\nall"});
   client c(context_);
   EXPECT_EQ(call(c).body, "all");
 }
--- a/test/http/client_test.cc
+++ b/test/http/client_test.cc
@@ -24,12 +24,13 @@
     server_.emplace(context_, server_options{}, std::move(on_request));
   }
 
-  // Answers each request with the next of `script`: 'a' answers, 'c' cuts the connection.
-  void start_script(std::string script)
+  // Handles each request by the next character of `script`: 'a' answers, 'c' closes the connection
+  // without a response.
+  void start_scripted(std::string script)
   {
     start([this, script](request, response_writer& w) -> asio::awaitable<void> {
-      const char step = script.at(runs_);
-      ++runs_;
+      const char step = script.at(request_count_);
+      ++request_count_;
       if (step == 'c') {
         w.abort();
         co_return;
@@ -47,63 +48,63 @@
   asio::io_context context_;
   client client_{context_};
   std::optional<server> server_;
-  std::size_t runs_ = 0;
+  std::size_t request_count_ = 0;
 };
 
 TEST_F(ClientTest, SendsMethodTargetFieldsAndBody)
 {
-  request seen;
+  request received;
   start([&](request r, response_writer& w) -> asio::awaitable<void> {
-    seen = r;
+    received = r;
     response out{.status = 201, .body = "whole"};
     out.fields.push_back({.name = "X", .value = "y"});
     co_await w.send(std::move(out));
   });
   const auto out =
       call({.method = "PUT", .target = "/a?b", .fields = {{"Request-Id", "7"}}, .body = "text"});
-  EXPECT_EQ(seen.method + " " + seen.target + " " + seen.body, "PUT /a?b text");
-  EXPECT_EQ(find_header(seen.fields, "Request-Id"), "7");
+  EXPECT_EQ(received.method + " " + received.target + " " + received.body, "PUT /a?b text");
+  EXPECT_EQ(find_header(received.fields, "Request-Id"), "7");
   EXPECT_EQ(out.status, 201);
   EXPECT_EQ(find_header(out.fields, "X"), "y");
   EXPECT_EQ(out.body, "whole");
 }
 
-TEST_F(ClientTest, SaysWhenNotAByteWasSent)
+TEST_F(ClientTest, ReportsAConnectErrorWhenNoByteWasSent)
 {
-  socket_address nobody;
+  socket_address unused_address;
   {
     tcp::acceptor bound(context_, {asio::ip::make_address("127.0.0.1"), 0});
-    nobody.port = bound.local_endpoint().port();
+    unused_address.port = bound.local_endpoint().port();
   }
-  EXPECT_THROW(fakes::call(context_, client_, nobody, {}), connect_error);
+  EXPECT_THROW(fakes::call(context_, client_, unused_address, {}), connect_error);
 }
 
-TEST_F(ClientTest, ReportsACutAfterSendingAsBroken)
+TEST_F(ClientTest, ReportsAConnectionClosedAfterSendingAsBroken)
 {
-  start_script("c");
+  start_scripted("c");
   EXPECT_THROW(call({.method = "POST"}), broken_exchange_error);
-  EXPECT_EQ(runs_, 1U);
+  EXPECT_EQ(request_count_, 1U);
 }
 
-TEST_F(ClientTest, RepeatsAGetOnAReusedConnectionOnce)
+TEST_F(ClientTest, RetriesAGetOnAReusedConnectionOnce)
 {
-  start_script("aca");
+  start_scripted("aca");
   call({});
   EXPECT_EQ(call({}).status, 200);
-  EXPECT_EQ(runs_, 3U);
+  EXPECT_EQ(request_count_, 3U);
 }
 
-TEST_F(ClientTest, NeverRepeatsAPost)
+TEST_F(ClientTest, NeverRetriesAPost)
 {
-  start_script("aca");
+  start_scripted("aca");
   call({.method = "POST"});
   EXPECT_THROW(call({.method = "POST"}), broken_exchange_error);
-  EXPECT_EQ(runs_, 2U);
+  EXPECT_EQ(request_count_, 2U);
 }
 
-TEST_F(ClientTest, LeavesAnIdleConnectionThatTheServerClosed)
+TEST_F(ClientTest, DiscardsAnIdleConnectionThatTheServerClosed)
 {
-  start_script("aa");
+  start_scripted("aa");
   const auto address = server_->address();
   call({.method = "POST"});
   server_.reset();
@@ -133,16 +134,16 @@
 
 TEST_F(ClientTest, SendsNothingAfterTheDeadline)
 {
-  start_script("a");
+  start_scripted("a");
   auto task = [&]() -> asio::awaitable<void> {
     const request message;
     co_await client_.call(server_->address(), message, std::chrono::steady_clock::now());
   };
   EXPECT_THROW(fakes::run(context_, task()), connect_error);
-  EXPECT_EQ(runs_, 0U);
+  EXPECT_EQ(request_count_, 0U);
 }
 
-TEST_F(ClientTest, HandsOverAStreamAsItArrives)
+TEST_F(ClientTest, DeliversAStreamAsItArrives)
 {
   start([](request, response_writer& w) -> asio::awaitable<void> {
     response head;
@@ -159,7 +160,7 @@
   EXPECT_EQ(text, "200 one two");
 }
 
-TEST_F(ClientTest, ReportsAStreamThatIsCutShort)
+TEST_F(ClientTest, ReportsATruncatedStream)
 {
   start([](request, response_writer& w) -> asio::awaitable<void> {
     response head;
@@ -175,28 +176,28 @@
 TEST_F(ClientTest, CancelsAStream)
 {
   asio::steady_timer hold(context_, asio::steady_timer::time_point::max());
-  bool told = false;
+  bool peer_closed = false;
   start([&](request, response_writer& w) -> asio::awaitable<void> {
-    w.on_peer_closed([&] { told = true; });
+    w.on_peer_closed([&] { peer_closed = true; });
     response head;
     co_await w.start_stream(head);
     co_await w.write_chunk("part");
     co_await hold.async_wait(asio::use_awaitable);
   });
-  exchange handle;
+  cancel_handle handle;
   stream_observer observer;
   observer.on_bytes = [&](std::string_view) { handle.cancel(); };
   EXPECT_THROW(fakes::run(context_, client_.stream(server_->address(), {}, fakes::far_deadline(),
                                                    observer, &handle)),
                broken_exchange_error);
-  fakes::run_until(context_, [&] { return told; });
+  fakes::run_until(context_, [&] { return peer_closed; });
 }
 
-TEST_F(ClientTest, RefusesAFieldThatBreaksTheLine)
+TEST_F(ClientTest, RejectsAFieldWithALineBreak)
 {
-  start_script("a");
+  start_scripted("a");
   EXPECT_THROW(call({.fields = {{"X", "a\r\nInjected: b"}}}), http_error);
-  EXPECT_EQ(runs_, 0U);
+  EXPECT_EQ(request_count_, 0U);
 }
 
 } // namespace
--- a/test/http/message_test.cc
+++ b/test/http/message_test.cc
@@ -6,7 +6,7 @@
 namespace wisteriaflow::http {
 namespace {
 
-TEST(MessageTest, FindsAHeaderWhateverItsCase)
+TEST(MessageTest, FindsAHeaderIgnoringCase)
 {
   const headers fields = {{"Request-Id", "a"}, {"request-id", "b"}};
   EXPECT_EQ(find_header(fields, "REQUEST-ID"), "a");
@@ -24,13 +24,13 @@
   EXPECT_EQ(parse_target("/x?a=%zz%4").query.at(0).value, "%zz%4");
 }
 
-TEST(MessageTest, ParsesTheAddressItPrints)
+TEST(MessageTest, ParsesAnAddressThatItFormatted)
 {
   const socket_address address = {.host = "127.0.0.1", .port = 8080};
   EXPECT_EQ(parse_socket_address(to_string(address)), address);
 }
 
-TEST(MessageTest, RefusesAnAddressThatIsNoNumber)
+TEST(MessageTest, RejectsAnAddressWithoutIpNumberAndPort)
 {
   for (const auto* text : {"localhost:80", "127.0.0.1", "127.0.0.1:", "127.0.0.1:65536"}) {
     EXPECT_THROW((void)parse_socket_address(text), http_error) << text;
--- a/test/http/server_test.cc
+++ b/test/http/server_test.cc
@@ -40,7 +40,7 @@
     return socket;
   }
 
-  // Writes `text` and returns all that comes back until the server closes.
+  // Writes `text` and returns everything received until the server closes the connection.
   std::string exchange(tcp::socket& socket, std::string text)
   {
     std::string out;
@@ -80,7 +80,7 @@
   EXPECT_NE(out.find("\r\n\r\nb"), std::string::npos) << out;
 }
 
-TEST_F(ServerTest, RefusesATooLargeHeaderAsInvalid)
+TEST_F(ServerTest, RejectsAnOversizedHeaderAsInvalid)
 {
   start({.header_limit = 256}, echo);
   const auto out = exchange("GET / HTTP/1.1\r\nX: " + std::string(1000, 'x') + "\r\n\r\n");
@@ -89,14 +89,14 @@
   EXPECT_NE(out.find(R"("type":"invalid","reason":"header_too_large")"), std::string::npos) << out;
 }
 
-TEST_F(ServerTest, RefusesATooLargeBodyAsInvalid)
+TEST_F(ServerTest, RejectsAnOversizedBodyAsInvalid)
 {
   start({.body_limit = 10}, echo);
   const auto out = exchange("POST / HTTP/1.1\r\nContent-Length: 11\r\n\r\n");
   EXPECT_EQ(out.substr(0, 12), "HTTP/1.1 413") << out;
 }
 
-TEST_F(ServerTest, RefusesATooLargeChunkedBodyAsInvalid)
+TEST_F(ServerTest, RejectsAnOversizedChunkedBodyAsInvalid)
 {
   start({.body_limit = 10}, echo);
   const auto out = exchange("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -104,7 +104,7 @@
   EXPECT_EQ(out.substr(0, 12), "HTTP/1.1 413") << out;
 }
 
-TEST_F(ServerTest, RefusesMalformedHttpAsInvalid)
+TEST_F(ServerTest, RejectsMalformedHttpAsInvalid)
 {
   start({}, echo);
   const auto out = exchange("nonsense\r\n\r\n");
@@ -112,15 +112,15 @@
   EXPECT_NE(out.find("Wisteriaflow-Outcome: invalid"), std::string::npos) << out;
 }
 
-TEST_F(ServerTest, CutsASlowWriter)
+TEST_F(ServerTest, ClosesTheConnectionOfASlowWriter)
 {
   start({.read_timeout = std::chrono::milliseconds(20)}, echo);
   EXPECT_EQ(exchange("POST / HTTP/1.1\r\nContent-Length: 5\r\n\r\nab"), "");
 }
 
-TEST_F(ServerTest, CutsASlowReader)
+TEST_F(ServerTest, ClosesTheConnectionOfASlowReader)
 {
-  bool cut = false;
+  bool write_failed = false;
   start({.write_timeout = std::chrono::milliseconds(20)},
         [&](request, response_writer& w) -> asio::awaitable<void> {
           response head;
@@ -131,23 +131,23 @@
               co_await w.write_chunk(chunk);
             }
           } catch (const broken_exchange_error&) {
-            cut = true;
+            write_failed = true;
           }
         });
   auto socket = connect();
   asio::write(socket, asio::buffer(std::string("GET / HTTP/1.1\r\n\r\n")));
-  fakes::run_until(context_, [&] { return cut; });
-  EXPECT_TRUE(cut);
+  fakes::run_until(context_, [&] { return write_failed; });
+  EXPECT_TRUE(write_failed);
 }
 
-TEST_F(ServerTest, TellsAWaitingHandlerThatThePeerClosed)
+TEST_F(ServerTest, NotifiesAWaitingHandlerThatThePeerClosed)
 {
-  bool told = false;
+  bool peer_closed = false;
   bool waiting = false;
   asio::steady_timer hold(context_, asio::steady_timer::time_point::max());
   start({}, [&](request, response_writer& w) -> asio::awaitable<void> {
     w.on_peer_closed([&] {
-      told = true;
+      peer_closed = true;
       hold.cancel();
     });
     waiting = true;
@@ -161,11 +161,11 @@
   fakes::run_until(context_, [&] { return waiting; });
   EXPECT_EQ(server_->open_requests(), 1U);
   socket.close();
-  fakes::run_until(context_, [&] { return told && server_->open_requests() == 0; });
-  EXPECT_TRUE(told);
+  fakes::run_until(context_, [&] { return peer_closed && server_->open_requests() == 0; });
+  EXPECT_TRUE(peer_closed);
 }
 
-TEST_F(ServerTest, AnswersAnEscapedExceptionWithAnUnknownOutcome)
+TEST_F(ServerTest, AnswersAHandlerExceptionWithStatus500)
 {
   start({}, [](request, response_writer&) -> asio::awaitable<void> {
     throw http_error("fault");
@@ -175,7 +175,7 @@
   EXPECT_EQ(out.substr(0, 12), "HTTP/1.1 500") << out;
 }
 
-TEST_F(ServerTest, CutsAStreamThatItsHandlerLeft)
+TEST_F(ServerTest, AbortsAStreamWhoseHandlerThrows)
 {
   start({}, [](request, response_writer& w) -> asio::awaitable<void> {
     response head;
@@ -185,10 +185,10 @@
   });
   const auto out = exchange("GET / HTTP/1.1\r\n\r\n");
   EXPECT_NE(out.find("part"), std::string::npos) << out;
-  EXPECT_EQ(out.find("0\r\n\r\n"), std::string::npos) << "the cut stream looks whole: " << out;
+  EXPECT_EQ(out.find("0\r\n\r\n"), std::string::npos) << "the cut stream looks complete: " << out;
 }
 
-TEST_F(ServerTest, StreamsToAnHttp10Caller)
+TEST_F(ServerTest, StreamsToAnHttp10Client)
 {
   start({}, [](request, response_writer& w) -> asio::awaitable<void> {
     response head;
@@ -201,7 +201,7 @@
   EXPECT_EQ(out.substr(out.find("\r\n\r\n")), "\r\n\r\none two");
 }
 
-TEST_F(ServerTest, AnswersARequestThatCameWhileDraining)
+TEST_F(ServerTest, AnswersARequestReceivedWhileDraining)
 {
   start({}, echo);
   auto socket = connect();
@@ -212,7 +212,7 @@
   EXPECT_EQ(out.substr(out.find("\r\n\r\n")), "\r\n\r\nlast");
 }
 
-TEST_F(ServerTest, RefusesConnectionsWhileDraining)
+TEST_F(ServerTest, RejectsConnectionsWhileDraining)
 {
   start({}, echo);
   server_->stop_accepting();
@@ -227,7 +227,7 @@
   EXPECT_EQ(exchange("GET / HTTP/1.1\r\n\r\n"), "");
 }
 
-TEST_F(ServerTest, RefusesAnAddressInUse)
+TEST_F(ServerTest, RejectsAnAddressInUse)
 {
   start({}, echo);
   EXPECT_THROW(server(context_, {.address = server_->address()}, echo), http_error);
--- a/test/relay/crashing_request_test.cc
+++ b/test/relay/crashing_request_test.cc
@@ -344,7 +344,7 @@
   add_endpoints(1);
   start_fleet(1);
   endpoints_[0]->mood = endpoint_mood::says_nothing;
-  http::exchange handle;
+  http::cancel_handle handle;
   bool call_ended = false;
   auto disconnect = [&]() -> boost::asio::awaitable<void> {
     try {
--- a/test/relay/gateway_test.cc
+++ b/test/relay/gateway_test.cc
@@ -291,7 +291,7 @@
 {
   start();
   set_mood(endpoint_mood::says_nothing);
-  http::exchange handle;
+  http::cancel_handle handle;
   bool ended = false;
   auto disconnect = [&]() -> boost::asio::awaitable<void> {
     try {
--- a/test/relay/lease_keeper_test.cc
+++ b/test/relay/lease_keeper_test.cc
@@ -56,7 +56,7 @@
                          auto uptime = read_uptime();
                          // The real readings differ by themselves; here they differ by
                          // suspended_ alone.
-                         uptime.since_boot = uptime.running.time_since_epoch() + suspended_;
+                         uptime.since_boot = uptime.monotonic.time_since_epoch() + suspended_;
                          return uptime;
                        }};
 };
