--- a/include/wisteriaflow/objects/configuration_store.h
+++ b/include/wisteriaflow/objects/configuration_store.h
@@ -1,8 +1,14 @@
-// Holds the configuration in force in one daemon and decides what may change it.
+// Maintains the active configuration of one daemon from lists, watches and peers.
 //
-// Objects arrive from lists and watches of the object API and from peers; any of these may be late,
+// Objects arrive from lists and watches of the object API and from peers. Any of these may be late,
 // repeated, out of order, or have gaps. An object is replaced or deleted only by a higher revision,
-// so nothing ever reverts. An object that is not valid leaves its last valid version in force.
+// so the configuration never reverts to an older state. If the newest version of an object is not
+// valid, its last valid version stays active.
+//
+//   configuration_store store;
+//   store.on_list(revision, documents);
+//   store.on_put(document); // a watch event
+//   if (store.readiness() == configuration_readiness::ready) { use(store.current()); }
 
 #ifndef WISTERIAFLOW_OBJECTS_CONFIGURATION_STORE_H_
 #define WISTERIAFLOW_OBJECTS_CONFIGURATION_STORE_H_
@@ -24,93 +30,101 @@
 
 class reference_index;
 
-// Whether a daemon may serve by its configuration.
+// Whether the configuration of a daemon is recent enough to serve requests. The required revision
+// is the highest one that a peer has reported.
 enum class configuration_readiness {
-  floor_unknown, // neither a peer nor, with all peers silent, the store has named a revision
-  catching_up,   // the configuration is older than the floor
-  ready,         // once ready, always ready: later revisions are applied as they arrive
+  // No peer has reported a revision. If no peer can be asked, there is no list to use instead.
+  required_revision_unknown,
+  // No complete configuration of at least the required revision has been merged yet.
+  catching_up,
+  // Never left again: later revisions are applied as they arrive.
+  ready,
 };
 
-// An object whose newest version is not in force.
+// An object whose newest version is not active.
 struct rejected_object {
   std::string name;
-  std::uint64_t revision = 0;          // the version that was rejected
-  std::uint64_t in_force_revision = 0; // the last valid version; 0 if there is none
+  std::uint64_t revision = 0;        // the version that was rejected
+  std::uint64_t active_revision = 0; // the last valid version; 0 if there is none
   std::string reason;
 
   friend bool operator==(const rejected_object&, const rejected_object&) = default;
 };
 
-// A whole configuration as it goes from daemon to daemon.
+// A complete configuration as one daemon sends it to another.
 struct configuration_snapshot {
-  std::uint64_t revision = 0; // the highest that the sender has seen
-  std::uint64_t floor = 0;    // all changes up to this one are known to the sender
-  // Newest versions, last valid versions of rejected objects, and Tombstone documents of
-  // deletions after the floor.
+  std::uint64_t revision = 0;          // the highest revision that the sender has seen
+  std::uint64_t complete_revision = 0; // the sender knows all changes up to this one
+  // The newest versions, the last valid versions of rejected objects, and Tombstone documents for
+  // deletions after `complete_revision`. A last valid version precedes the newest one.
   std::vector<boost::json::value> objects;
 };
 
-// One change that came into force, or an object newly rejected; material of the audit trail.
+// A change that took effect, or a new version that was rejected. Input of the audit trail.
 enum class change_kind { added, modified, deleted, rejected };
 
 struct configuration_change {
   change_kind kind = change_kind::modified;
   std::string name;
-  std::uint64_t old_revision = 0; // 0 if it is new
-  std::uint64_t new_revision = 0; // of the deletion, if it was deleted
-  boost::json::value document;    // the newest version; the last one, if it was deleted
+  std::uint64_t old_revision = 0; // 0 if the object is new
+  std::uint64_t new_revision = 0; // the revision of the deletion, if it was deleted
+  boost::json::value document;    // the newest version, or the last one before the deletion
 
   friend bool operator==(const configuration_change&, const configuration_change&) = default;
 };
 
-// The state machine of one daemon's configuration. Every on_… call returns what it changed: empty
-// for what was stale or known. Not thread-safe; `current` is immutable and may be shared.
+// State machine of one daemon's configuration. The on_* functions that receive objects return the
+// changes that they made: an empty list if the input was stale or already known. Not thread-safe;
+// the result of `current` is immutable and may be shared between threads.
 class configuration_store {
  public:
   configuration_store();
 
-  // The object API listed all objects as they were at `revision`. A list that is older than one
-  // already merged is ignored.
+  // Applies a list of all objects at `revision`. Ignored unless `revision` is above the one up to
+  // which all changes are already known. Objects that the list lacks are deleted.
   std::vector<configuration_change> on_list(std::uint64_t revision,
                                             const std::vector<boost::json::value>& documents);
 
-  // A watch showed an object added or modified. A document without name or revision is ignored.
+  // Applies a watch event: an object was added or modified. A document without a name or revision
+  // is ignored.
   std::vector<configuration_change> on_put(const boost::json::value& document);
 
-  // A watch showed that `name` was deleted at `revision`.
+  // Applies a watch event: the object `name` was deleted at `revision`.
   std::vector<configuration_change> on_deleted(std::string_view name, std::uint64_t revision);
 
-  // A watch that began at watch_from() has shown, without a gap, every change up to `revision`.
-  void on_watched_through(std::uint64_t revision);
+  // A watch that started at watch_start_revision() has delivered every change up to `revision`
+  // without a gap.
+  void on_watch_progress(std::uint64_t revision);
 
-  // A peer sent its configuration. Its revision raises the floor.
+  // Merges the configuration of a peer. Its revision raises the required revision.
   std::vector<configuration_change> on_peer_snapshot(const configuration_snapshot& snapshot);
 
-  // A peer has seen `revision`: this daemon does not begin to serve below it.
+  // A peer has seen `revision`. This daemon does not become ready below it.
   void on_peer_revision(std::uint64_t revision);
 
-  // No peer could be asked: the floor is then that of the store's own list.
-  void on_peers_silent();
+  // No peer can be asked for its revision. The store then becomes ready once it has a list; a
+  // revision that a peer has reported is still required.
+  void on_peers_unreachable();
 
-  // The configuration in force; never null.
+  // The active configuration; never null.
   [[nodiscard]] std::shared_ptr<const fleet_configuration> current() const { return current_; }
 
-  // The highest revision seen and applied. Never falls.
+  // The highest revision seen and applied. Never decreases.
   [[nodiscard]] std::uint64_t revision() const { return revision_; }
 
-  // Where the next watch begins: all changes up to here are known.
-  [[nodiscard]] std::uint64_t watch_from() const { return complete_revision_; }
+  // The revision after which the next watch starts: all changes up to it are known.
+  [[nodiscard]] std::uint64_t watch_start_revision() const { return complete_revision_; }
 
   [[nodiscard]] configuration_readiness readiness() const;
 
-  // Objects whose newest version is not in force, sorted by name.
+  // Objects whose newest version is not active, sorted by name.
   [[nodiscard]] const std::vector<rejected_object>& rejected() const { return rejected_; }
 
-  // What a peer needs to come to the same configuration.
+  // The state that a peer needs to reach the same configuration.
   [[nodiscard]] configuration_snapshot snapshot() const;
 
  private:
-  // A version of an object as read; without `decoded` it is not valid.
+  // One version of an object. `decoded` is absent if the version is not valid.
   struct object_version {
     std::uint64_t revision = 0;
     boost::json::value document;
@@ -118,13 +132,13 @@
     std::string reason; // why it is not valid
   };
 
-  struct entry {
-    object_version newest;                    // the last one before the deletion, if deleted
-    std::optional<object_version> last_valid; // set while the newest is not in force
+  struct object_state {
+    object_version newest;                    // the last version before the deletion, if deleted
+    std::optional<object_version> last_valid; // set while `newest` is not active
     std::uint64_t deleted_at = 0;             // 0: not deleted
-    std::uint64_t in_force_revision = 0;      // 0: none of it is
+    std::uint64_t active_revision = 0;        // 0: no version is active
 
-    [[nodiscard]] std::uint64_t seen_revision() const
+    [[nodiscard]] std::uint64_t latest_revision() const
     {
       return deleted_at != 0 ? deleted_at : newest.revision;
     }
@@ -133,35 +147,40 @@
   using changes = std::vector<configuration_change>;
 
   static object_version read_version(const boost::json::value& document, std::uint64_t revision);
-  static bool is_understood(const object_version& version);
+  static bool has_declared_object(const object_version& version);
 
-  // Takes versions above those seen. An unknown object must also be above `known_through`, or a
-  // deletion that is no longer remembered would be undone.
-  void put(const boost::json::value& document, std::uint64_t known_through, changes& made);
-  void offer_last_valid(const boost::json::value& document);
+  // Accepts a version above the latest known one of its object. An object that is not in `entries_`
+  // must be above `complete_revision`: its tombstone may have been dropped, and an older version
+  // would undo the deletion.
+  void put(const boost::json::value& document, std::uint64_t complete_revision, changes& made);
+  void merge_last_valid(const boost::json::value& document);
   void erase(std::string_view name, std::uint64_t revision, changes& made);
   void erase_absent(std::uint64_t revision, const std::vector<boost::json::value>& documents,
                     changes& made);
   void merge_peer_objects(const configuration_snapshot& snapshot, changes& made);
-  void complete_through(std::uint64_t revision);
+  void advance_complete_revision(std::uint64_t revision);
   void update_readiness();
 
-  // Puts in force what is valid and tells which of `made` came to nothing.
-  changes put_in_force(changes made);
+  // Activates all valid versions. Returns `made`, with the changes that did not take effect marked
+  // as rejected.
+  changes apply_changes(changes made);
   void rebuild();
-  static int rank_of(const entry& known);
-  static void settle(entry& known, reference_index& index, std::vector<declared_object>& in_force);
-  void note_rejected(const std::string& name, const entry& known);
-
-  std::map<std::string, entry, std::less<>> entries_;
+  // The dependency rank of the newest usable version; -1 if there is none.
+  static int dependency_rank_of(const object_state& state);
+  // Activates the newest version of an object, or else its last valid one, if its references exist.
+  static void select_active_version(object_state& state, reference_index& index,
+                                    std::vector<declared_object>& active);
+  void add_rejected(const std::string& name, const object_state& state);
+
+  std::map<std::string, object_state, std::less<>> entries_;
   std::shared_ptr<const fleet_configuration> current_;
   std::vector<rejected_object> rejected_;
   std::uint64_t revision_ = 0;
   std::uint64_t complete_revision_ = 0;
-  std::uint64_t held_revision_ = 0; // of the newest whole configuration merged
-  std::uint64_t peer_floor_ = 0;    // 0: no peer has named one
-  bool peers_silent_ = false;
-  bool whole_ = false; // a list or a peer's snapshot has been merged
+  std::uint64_t full_revision_ = 0;     // of the newest complete configuration that was merged
+  std::uint64_t required_revision_ = 0; // the highest reported by a peer; 0: none yet
+  bool peers_unreachable_ = false;
+  bool has_full_configuration_ = false; // a list or a peer's snapshot has been merged
   bool ready_ = false;
 };
 
--- a/include/wisteriaflow/objects/declared_object.h
+++ b/include/wisteriaflow/objects/declared_object.h
@@ -1,7 +1,7 @@
-// What operators declare: workspaces, pools, model versions, routing intents and plain services,
-// as immutable values. `codec.h` reads and writes their JSON.
+// The objects that operators declare: workspaces, pools, model versions, routing intents and plain
+// services, as immutable values. `codec.h` decodes and encodes their JSON.
 //
-// All kinds live in one resource of the object API, so a name is unique over all of them.
+// All kinds are stored in one resource of the object API, so a name is unique among all kinds.
 
 #ifndef WISTERIAFLOW_OBJECTS_DECLARED_OBJECT_H_
 #define WISTERIAFLOW_OBJECTS_DECLARED_OBJECT_H_
@@ -20,17 +20,17 @@
 
 namespace wisteriaflow::objects {
 
-// The object API's resource that holds every declared object.
+// The resource of the object API that stores every declared object.
 inline constexpr std::string_view declarations_plural = "declarations";
 
-// The newest layout of `spec` that this version reads (`spec.schema`; 1 if it is absent).
+// The newest schema of `spec` that this version of the software reads (`spec.schema`; 1 if absent).
 inline constexpr std::int64_t newest_schema = 1;
 
-// Priorities of requests: the higher goes first.
+// The range of request priorities. Requests of a higher priority are served first.
 inline constexpr std::int64_t lowest_priority = 0;
 inline constexpr std::int64_t highest_priority = 100;
 
-// What every declared object carries.
+// The metadata of every declared object.
 struct object_metadata {
   std::string name;
   label_set labels;
@@ -40,7 +40,7 @@
   friend bool operator==(const object_metadata&, const object_metadata&) = default;
 };
 
-// The priorities that a workspace may ask for, both ends included.
+// The priorities that requests of a workspace may use, both ends included.
 struct priority_range {
   std::int64_t min = lowest_priority;
   std::int64_t max = highest_priority;
@@ -48,7 +48,7 @@
   friend bool operator==(const priority_range&, const priority_range&) = default;
 };
 
-// A customer: its share of the fleet and its limits. A limit that is absent does not bind.
+// A customer (tenant): its share of the fleet and its limits. An absent limit means unlimited.
 struct workspace {
   object_metadata metadata;
   double share_weight = 1;
@@ -62,10 +62,10 @@
   friend bool operator==(const workspace&, const workspace&) = default;
 };
 
-// What the instances of a pool run.
+// What the instances of a pool run: model engines or plain services.
 enum class pool_role { engine, service };
 
-// How fast a pool must answer, in milliseconds.
+// Latency targets of a pool, in milliseconds: time to the first token and between two tokens.
 struct latency_targets {
   std::int64_t first_token_ms = 1000;
   std::int64_t between_tokens_ms = 100;
@@ -73,24 +73,26 @@
   friend bool operator==(const latency_targets&, const latency_targets&) = default;
 };
 
-// A group of instances that serve together, and the room that capacity planning has.
+// A group of instances that serve one model or plain services, and the limits for capacity
+// planning.
 struct pool {
   object_metadata metadata;
   selector instance_selector;
   pool_role role = pool_role::engine;
-  model_id model; // empty if the role is service
+  model_id model; // empty if and only if the role is service
   objects::latency_targets latency_targets;
   std::int64_t min_instances = 0;
   std::int64_t max_instances = 0;
   std::vector<availability_zone> availability_zones; // empty: all
   std::vector<std::string> instance_classes;         // empty: all
-  double max_reclaimable_share = 1;                  // of the pool's instances, 0 to 1
-  double headroom = 0.2;                             // spare part of the demand, 0 to 4
+  double max_reclaimable_share = 1;                  // fraction of the pool's instances that may
+                                                     // be reclaimable, 0 to 1
+  double headroom = 0.2; // spare capacity relative to the demand, 0 to 4
 
   friend bool operator==(const pool&, const pool&) = default;
 };
 
-// What one instance of a class does with a model version.
+// The throughput of one instance of some class with a model version, in tokens per second.
 struct token_rates {
   double prefill_tokens_per_second = 0;
   double decode_tokens_per_second = 0;
@@ -98,7 +100,7 @@
   friend bool operator==(const token_rates&, const token_rates&) = default;
 };
 
-// One version of a model, with an adapter or without.
+// One version of a model, with or without an adapter.
 struct model_version {
   object_metadata metadata;
   model_id model;
@@ -111,27 +113,27 @@
   friend bool operator==(const model_version&, const model_version&) = default;
 };
 
-// What a routing intent prefers among endpoints that meet the latency target.
+// The preference of a routing intent among the endpoints that meet the latency targets.
 enum class price_preference { latency, cost };
 
-// Sends the requests that it selects to the endpoints that it selects.
+// Routes the requests that match its selectors to the matching endpoints of a pool.
 struct routing_intent {
   object_metadata metadata;
   selector workspace_selector;
   selector request_selector;
   selector instance_selector;
-  model_id model; // empty: the pool's
+  model_id model; // empty: the model of the pool
   std::string pool;
-  std::int64_t priority = 50; // of the intent among intents, and of its requests by default
-  bool batch = false;         // gives way to everything else
-  double weight = 1;          // among requests of one priority
+  std::int64_t priority = 50; // order among intents, and the default priority of its requests
+  bool batch = false;         // its requests yield to all requests that are not batch
+  double weight = 1;          // relative share among requests of the same priority
   objects::price_preference price_preference = objects::price_preference::latency;
 
   friend bool operator==(const routing_intent&, const routing_intent&) = default;
 };
 
-// A plain service beside the model engines. A call by a method that is not idempotent runs at most
-// once.
+// A plain service that runs next to the model engines. A call is executed at most once unless its
+// method is listed as idempotent.
 struct service {
   object_metadata metadata;
   selector instance_selector;
@@ -141,16 +143,16 @@
   friend bool operator==(const service&, const service&) = default;
 };
 
-// Any declared object.
+// A declared object of any kind.
 using declared_object = std::variant<workspace, pool, model_version, routing_intent, service>;
 
-// The metadata of any declared object.
+// The metadata of `object`, whatever its kind.
 [[nodiscard]] const object_metadata& metadata_of(const declared_object& object);
 
-// The kind as it stands in JSON, such as "RoutingIntent".
+// The kind as written in JSON, such as "RoutingIntent".
 [[nodiscard]] std::string_view kind_of(const declared_object& object);
 
-// All kinds, sorted as in `declared_object`.
+// All kinds, in the order of the alternatives of `declared_object`.
 [[nodiscard]] const std::vector<std::string_view>& known_kinds();
 
 } // namespace wisteriaflow::objects
--- a/include/wisteriaflow/objects/errors.h
+++ b/include/wisteriaflow/objects/errors.h
@@ -1,4 +1,6 @@
-// Errors of the objects package.
+// Exceptions of the objects package, and the description of an invalid field.
+//
+// All exceptions derive from objects_error.
 
 #ifndef WISTERIAFLOW_OBJECTS_ERRORS_H_
 #define WISTERIAFLOW_OBJECTS_ERRORS_H_
@@ -12,19 +14,20 @@
 
 namespace wisteriaflow::objects {
 
-// Base of the package's errors.
+// Base class of the exceptions of this package.
 class objects_error : public error {
  public:
   using error::error;
 };
 
-// A label's key or value is malformed.
+// The key or value of a label is malformed, or a key occurs twice.
 class label_error : public objects_error {
  public:
   using objects_error::objects_error;
 };
 
-// A selector's text is malformed. `position` counts characters from 0.
+// The text of a selector is malformed. `position` is the 0-based index of the first unexpected
+// character.
 class selector_parse_error : public objects_error {
  public:
   selector_parse_error(std::string text, std::size_t position, const std::string& expected)
@@ -42,59 +45,59 @@
   std::size_t position_;
 };
 
-// Where a declared object is wrong, and what would be right.
-struct object_fault {
+// Describes an invalid field of a declared object and the values that are allowed there.
+struct field_violation {
   std::string kind;
   std::string name;
-  std::string field;   // as in "spec.latency_targets.first_token_ms"
+  std::string field;   // path, such as "spec.latency_targets.first_token_ms"
   std::string value;   // as JSON; "(absent)" if the field is missing
-  std::string allowed; // what may stand there
+  std::string allowed; // description of the allowed values
 
-  friend bool operator==(const object_fault&, const object_fault&) = default;
+  friend bool operator==(const field_violation&, const field_violation&) = default;
 };
 
-// The fault as one line for an operator.
-[[nodiscard]] inline std::string to_string(const object_fault& fault)
+// Formats the violation as one line for an operator.
+[[nodiscard]] inline std::string to_string(const field_violation& violation)
 {
-  return fault.kind + " " + fault.name + ": " + fault.field + " is " + fault.value +
-         "; allowed: " + fault.allowed;
+  return violation.kind + " " + violation.name + ": " + violation.field + " is " + violation.value +
+         "; allowed: " + violation.allowed;
 }
 
-// A declared object is not valid.
+// A declared object is invalid.
 class invalid_object_error : public objects_error {
  public:
-  explicit invalid_object_error(object_fault fault)
-      : objects_error(to_string(fault)), fault_(std::move(fault))
+  explicit invalid_object_error(field_violation violation)
+      : objects_error(to_string(violation)), violation_(std::move(violation))
   {
   }
 
-  [[nodiscard]] const object_fault& fault() const { return fault_; }
+  [[nodiscard]] const field_violation& violation() const { return violation_; }
 
  private:
-  object_fault fault_;
+  field_violation violation_;
 };
 
-// A list of objects does not make a valid configuration. Names every fault.
+// A list of objects is not a valid configuration. Contains every violation found.
 class configuration_error : public objects_error {
  public:
-  explicit configuration_error(std::vector<object_fault> faults)
-      : objects_error(describe(faults)), faults_(std::move(faults))
+  explicit configuration_error(std::vector<field_violation> violations)
+      : objects_error(describe(violations)), violations_(std::move(violations))
   {
   }
 
-  [[nodiscard]] const std::vector<object_fault>& faults() const { return faults_; }
+  [[nodiscard]] const std::vector<field_violation>& violations() const { return violations_; }
 
  private:
-  static std::string describe(const std::vector<object_fault>& faults)
+  static std::string describe(const std::vector<field_violation>& violations)
   {
     std::string text;
-    for (const auto& fault : faults) {
-      text += (text.empty() ? "" : "\n") + to_string(fault);
+    for (const auto& violation : violations) {
+      text += (text.empty() ? "" : "\n") + to_string(violation);
     }
     return text;
   }
 
-  std::vector<object_fault> faults_;
+  std::vector<field_violation> violations_;
 };
 
 } // namespace wisteriaflow::objects
--- a/include/wisteriaflow/objects/fleet_configuration.h
+++ b/include/wisteriaflow/objects/fleet_configuration.h
@@ -1,4 +1,5 @@
-// The configuration of the whole fleet at one revision, as an immutable value.
+// The configuration of the whole fleet at one revision, as an immutable value, with lookups by name
+// and by selector.
 
 #ifndef WISTERIAFLOW_OBJECTS_FLEET_CONFIGURATION_H_
 #define WISTERIAFLOW_OBJECTS_FLEET_CONFIGURATION_H_
@@ -17,11 +18,12 @@
 
 namespace wisteriaflow::objects {
 
-// A label that every workspace has without declaring it: its own name, so that a selector can name
-// one workspace. Left out for names that are too long for a label's value.
+// An implicit label of every workspace with its own name as value, so that a selector can select
+// one workspace. Omitted if the name is not a valid label value, for example because it is too
+// long.
 inline constexpr std::string_view name_label = "wisteriaflow.dev/name";
 
-// What selectors look at in a request.
+// The properties of a request that selectors match.
 struct request_description {
   workspace_id workspace;
   label_set labels;
@@ -30,7 +32,7 @@
   friend bool operator==(const request_description&, const request_description&) = default;
 };
 
-// What selectors and pools look at in an instance.
+// The properties of an instance that selectors and pools match.
 struct instance_description {
   label_set labels;
   availability_zone zone;
@@ -40,51 +42,48 @@
   friend bool operator==(const instance_description&, const instance_description&) = default;
 };
 
-// Every declared object, valid by itself and in its references.
+// All declared objects of the fleet. Each is valid, and so are its references to other objects.
 //
 //   const auto configuration = make_fleet_configuration(41, documents);
 //   for (const auto* intent : configuration.matching_intents(request)) { ... }
 //
-// Pointers returned live as long as the configuration.
+// Returned pointers are valid as long as the configuration exists.
 class fleet_configuration {
  public:
   // An empty configuration at revision 0.
   fleet_configuration() = default;
 
-  // Takes objects that are valid and have distinct names; make_fleet_configuration checks that.
+  // The objects must be valid and have distinct names; make_fleet_configuration checks both.
   fleet_configuration(std::uint64_t revision, std::vector<declared_object> objects,
-                      std::vector<not_understood_object> not_understood);
+                      std::vector<unsupported_object> unsupported);
 
-  // The highest revision that this configuration takes into account.
+  // The highest revision of the object API that this configuration includes.
   [[nodiscard]] std::uint64_t revision() const { return revision_; }
 
-  // Each sorted by name, but intents by falling priority and then by name.
+  // Each list is sorted by name, except intents: by descending priority, then by name.
   [[nodiscard]] const std::vector<workspace>& workspaces() const { return workspaces_; }
   [[nodiscard]] const std::vector<pool>& pools() const { return pools_; }
   [[nodiscard]] const std::vector<model_version>& model_versions() const { return model_versions_; }
   [[nodiscard]] const std::vector<routing_intent>& intents() const { return intents_; }
   [[nodiscard]] const std::vector<service>& services() const { return services_; }
-  [[nodiscard]] const std::vector<not_understood_object>& not_understood() const
-  {
-    return not_understood_;
-  }
+  [[nodiscard]] const std::vector<unsupported_object>& unsupported() const { return unsupported_; }
 
-  // Each returns null if there is none of that name.
+  // Each returns null if no object of this kind has the name.
   [[nodiscard]] const workspace* find_workspace(const workspace_id& id) const;
   [[nodiscard]] const pool* find_pool(std::string_view name) const;
   [[nodiscard]] const service* find_service(std::string_view name) const;
 
-  // Whether some model version, retired or not, is of `model`.
-  [[nodiscard]] bool knows_model(const model_id& model) const;
+  // Whether any version of `model` is declared, retired or not.
+  [[nodiscard]] bool has_model(const model_id& model) const;
 
-  // The intents that select `request`, the one to follow first. Empty if the workspace is unknown.
+  // The intents that select `request`, in order of precedence. Empty if the workspace is unknown.
   [[nodiscard]] std::vector<const routing_intent*>
   matching_intents(const request_description& request) const;
 
-  // The model that `intent` serves: its own or its pool's.
+  // The model of `intent`: its own, or else that of its pool. Empty if there is neither.
   [[nodiscard]] model_id model_of(const routing_intent& intent) const;
 
-  // Whether `instance` may serve `intent`: its pool takes the instance and the intent selects it.
+  // Whether `instance` may serve requests of `intent`: its pool and the intent both select it.
   [[nodiscard]] bool is_eligible(const routing_intent& intent,
                                  const instance_description& instance) const;
 
@@ -99,19 +98,22 @@
   std::vector<model_version> model_versions_;
   std::vector<routing_intent> intents_;
   std::vector<service> services_;
-  std::vector<not_understood_object> not_understood_;
-  // For each workspace, the places in intents_ that select it: a request then looks only at those.
+  std::vector<unsupported_object> unsupported_;
+  // For each workspace, the indices in `intents_` of the intents that select it, so that a request
+  // checks only those.
   std::unordered_map<workspace_id, std::vector<std::size_t>> intents_of_workspace_;
 };
 
-// Whether `members` takes `instance`, by selector, role, zone and class.
-[[nodiscard]] bool is_eligible(const pool& members, const instance_description& instance);
+// Whether `instance` belongs to `candidate_pool` by selector, role, zone and class.
+[[nodiscard]] bool is_eligible(const pool& candidate_pool, const instance_description& instance);
 
-// Whether `instance` runs `target`.
-[[nodiscard]] bool is_eligible(const service& target, const instance_description& instance);
+// Whether `instance` runs `candidate_service`, by role and selector.
+[[nodiscard]] bool is_eligible(const service& candidate_service,
+                               const instance_description& instance);
 
-// Reads and checks `documents` as one whole. Throws configuration_error with every fault found;
-// objects that are not understood are kept aside and are no fault.
+// Decodes `documents` and validates them together, including unique names and references. Throws
+// configuration_error with every violation found. Unsupported objects are stored separately and are
+// not a violation.
 [[nodiscard]] fleet_configuration
 make_fleet_configuration(std::uint64_t revision, const std::vector<boost::json::value>& documents);
 
--- a/include/wisteriaflow/objects/references.h
+++ b/include/wisteriaflow/objects/references.h
@@ -1,4 +1,5 @@
-// Checks that declared objects refer to objects that exist and fit.
+// Validates the references between declared objects: a pool refers to a model, and a routing intent
+// to a pool whose model matches.
 
 #ifndef WISTERIAFLOW_OBJECTS_REFERENCES_H_
 #define WISTERIAFLOW_OBJECTS_REFERENCES_H_
@@ -13,27 +14,27 @@
 
 namespace wisteriaflow::objects {
 
-// Collects what may be referred to. Add objects in the order model versions, pools, the rest: each
-// is checked against those added before it.
+// Index of the objects that others may refer to. Add objects in ascending dependency_rank: model
+// versions, pools, then the rest, because each object is validated against those added before it.
 class reference_index {
  public:
-  // The reason why `object` cannot be in force beside the objects added so far, if there is one.
-  [[nodiscard]] std::optional<object_fault> find_fault(const declared_object& object) const;
+  // The first invalid reference of `object` to the objects added so far, or nullopt.
+  [[nodiscard]] std::optional<field_violation> find_violation(const declared_object& object) const;
 
-  // Lets later objects refer to `object`.
+  // Adds `object`, so that later objects can refer to it.
   void add(const declared_object& object);
 
  private:
-  [[nodiscard]] std::optional<object_fault> find_fault(const pool& p) const;
-  [[nodiscard]] std::optional<object_fault> find_fault(const routing_intent& i) const;
+  [[nodiscard]] std::optional<field_violation> find_violation(const pool& p) const;
+  [[nodiscard]] std::optional<field_violation> find_violation(const routing_intent& i) const;
 
   std::unordered_set<model_id> models_;
-  std::map<std::string, model_id> pools_; // name to model
+  std::map<std::string, model_id> pools_; // by name: the model of the pool
 };
 
-// The order in which objects can refer to each other: an object's rank is above the ranks of all
-// that it may refer to.
-[[nodiscard]] int reference_rank(const declared_object& object);
+// The position of the object's kind in the dependency order, from 0: an object's rank is above the
+// rank of every object that it may refer to.
+[[nodiscard]] int dependency_rank(const declared_object& object);
 
 } // namespace wisteriaflow::objects
 
--- a/include/wisteriaflow/objects/selector.h
+++ b/include/wisteriaflow/objects/selector.h
@@ -1,4 +1,4 @@
-// Selectors over labels, equality and set based, as in Kubernetes.
+// Label selectors with equality-based and set-based requirements, as in Kubernetes.
 
 #ifndef WISTERIAFLOW_OBJECTS_SELECTOR_H_
 #define WISTERIAFLOW_OBJECTS_SELECTOR_H_
@@ -11,25 +11,25 @@
 
 namespace wisteriaflow::objects {
 
-// How a requirement looks at a label. Equality is `in` with one value.
+// The operator of a requirement. Equality is `in` with one value, inequality `not_in`.
 enum class selector_operator { in, not_in, exists, does_not_exist };
 
-// One condition on one label.
+// A condition on one label.
 struct requirement {
   std::string key;
   selector_operator op = selector_operator::exists;
-  std::vector<std::string> values; // sorted, without repeats; empty for the existence operators
+  std::vector<std::string> values; // sorted, without duplicates; empty for the existence operators
 
   friend bool operator==(const requirement&, const requirement&) = default;
 };
 
-// Whether `labels` satisfies `wanted`. A label that is absent satisfies `not_in`.
-[[nodiscard]] bool matches(const requirement& wanted, const label_set& labels);
+// Whether `labels` satisfies `condition`. An absent label satisfies `not_in`.
+[[nodiscard]] bool matches(const requirement& condition, const label_set& labels);
 
 // An immutable conjunction of requirements. An empty selector matches everything.
 //
-//   const auto chosen = parse_selector("tier=gold, zone in (a,b), !retired");
-//   chosen.matches({{"tier", "gold"}, {"zone", "a"}}); // true
+//   const auto gold_tier = parse_selector("tier=gold, zone in (a,b), !retired");
+//   gold_tier.matches({{"tier", "gold"}, {"zone", "a"}}); // true
 class selector {
  public:
   selector() = default;
@@ -44,12 +44,14 @@
   std::vector<requirement> requirements_;
 };
 
-// Parses "a=b, c!=d, e in (x,y), f notin (z), g, !h" ("==" is taken for "="). Throws
-// selector_parse_error.
+// Parses a comma-separated list of requirements. "==" means the same as "=". Throws
+// selector_parse_error if the text is malformed.
+//
+//   parse_selector("a=b, c!=d, e in (x,y), f notin (z), g, !h")
 [[nodiscard]] selector parse_selector(std::string_view text);
 
-// The selector's canonical text; parse_selector gives the same selector back.
-[[nodiscard]] std::string to_string(const selector& chosen);
+// The canonical text of the selector. parse_selector turns it back into an equal selector.
+[[nodiscard]] std::string to_string(const selector& source);
 
 } // namespace wisteriaflow::objects
 
--- a/samples/02_configuration.cc
+++ b/samples/02_configuration.cc
@@ -66,7 +66,7 @@
     static_cast<void>(objects::make_fleet_configuration(1, documents_in(faulty)));
   } catch (const objects::configuration_error& e) {
     std::cout << "faults:\n";
-    for (const auto& fault : e.faults()) {
+    for (const auto& fault : e.violations()) {
       std::cout << "  " << objects::to_string(fault) << '\n';
     }
   }
--- a/src/core/configuration.cc
+++ b/src/core/configuration.cc
@@ -57,7 +57,7 @@
     return;
   }
   if (!floor_from_peer_ && context_.now().mono >= floor_wait_until_) {
-    store_.on_peers_silent();
+    store_.on_peers_unreachable();
     apply_changes({});
   }
   context_.timers().schedule(context_.now().mono + floor_check_interval, [this] { check_floor(); });
@@ -150,14 +150,14 @@
 objects::configuration_snapshot configuration::on_query(const configuration_query& query) const
 {
   if (query.known_revision >= store_.revision()) {
-    return {.revision = store_.revision(), .floor = store_.watch_from()};
+    return {.revision = store_.revision(), .complete_revision = store_.watch_start_revision()};
   }
   return store_.snapshot();
 }
 
 void configuration::apply_changes(const std::vector<objects::configuration_change>& changes)
 {
-  fleet_.set_configuration(store_.current(), store_.watch_from());
+  fleet_.set_configuration(store_.current(), store_.watch_start_revision());
   context_.counters().set("configuration_revision", static_cast<double>(store_.revision()));
   context_.counters().set("configuration_rejected_objects",
                           static_cast<double>(store_.rejected().size()));
--- a/src/core/operator_service.cc
+++ b/src/core/operator_service.cc
@@ -123,7 +123,7 @@
   for (const auto& object : services_.config.store().rejected()) {
     rejected.push_back(json::object{{"name", object.name},
                                     {"revision", object.revision},
-                                    {"in_force_revision", object.in_force_revision},
+                                    {"in_force_revision", object.active_revision},
                                     {"reason", object.reason}});
   }
   const json::object body{{"daemon", context_.options().self.value()},
--- a/src/objects/audit_record.cc
+++ b/src/objects/audit_record.cc
@@ -40,7 +40,7 @@
   return audit_change::action;
 }
 
-std::string annotation_in(const object_metadata& metadata, std::string_view key)
+std::string find_annotation(const object_metadata& metadata, std::string_view key)
 {
   const auto it = metadata.annotations.find(std::string(key));
   return it == metadata.annotations.end() ? "" : it->second;
@@ -76,9 +76,9 @@
 audit_record decode_audit_record(const boost::json::value& document)
 {
   const auto metadata = decode_metadata(document);
-  const internal::owner whose{.kind = std::string(audit_record_kind), .name = metadata.name};
-  field_reader top(whose, "document", document);
-  auto spec = top.nested("spec");
+  const internal::object_id id{.kind = std::string(audit_record_kind), .name = metadata.name};
+  field_reader root(id, "document", document);
+  auto spec = root.nested("spec");
   auto object = spec.nested("object");
   audit_record record;
   record.who = spec.string_or("who", "");
@@ -91,8 +91,8 @@
   record.change = read_change(spec);
   record.cause = spec.string_or("cause", "");
   record.detail = spec.string_or("detail", "");
-  object.finish();
-  spec.finish();
+  object.reject_unread_fields();
+  spec.reject_unread_fields();
   return record;
 }
 
@@ -100,15 +100,15 @@
                                wall_time when)
 {
   const auto metadata = decode_metadata(document);
-  return {.who = annotation_in(metadata, changed_by_annotation),
+  return {.who = find_annotation(metadata, changed_by_annotation),
           .when = when,
           .plural = std::string(declarations_plural),
-          .object_kind = internal::kind_in(document),
+          .object_kind = internal::read_kind(document),
           .object_name = metadata.name,
           .old_revision = change.old_revision,
           .new_revision = change.new_revision,
           .change = change.change,
-          .cause = annotation_in(metadata, cause_annotation)};
+          .cause = find_annotation(metadata, cause_annotation)};
 }
 
 std::string_view to_string(audit_change change)
--- a/src/objects/configuration_store.cc
+++ b/src/objects/configuration_store.cc
@@ -11,7 +11,7 @@
 namespace wisteriaflow::objects {
 namespace {
 
-// Stands in a snapshot for a deletion.
+// The kind of the documents that represent deletions in a snapshot.
 constexpr std::string_view tombstone_kind = "Tombstone";
 
 boost::json::value make_tombstone(const std::string& name, std::uint64_t revision)
@@ -22,7 +22,7 @@
 
 bool is_tombstone(const boost::json::value& document)
 {
-  return internal::kind_in(document) == tombstone_kind;
+  return internal::read_kind(document) == tombstone_kind;
 }
 
 std::set<std::string> names_of(const std::vector<boost::json::value>& documents)
@@ -46,7 +46,7 @@
 configuration_store::on_list(std::uint64_t revision,
                              const std::vector<boost::json::value>& documents)
 {
-  const bool stale = whole_ && revision <= complete_revision_;
+  const bool stale = has_full_configuration_ && revision <= complete_revision_;
   if (stale) {
     return {};
   }
@@ -55,16 +55,16 @@
     put(document, 0, made);
   }
   erase_absent(revision, documents, made);
-  whole_ = true;
-  complete_through(revision);
-  return put_in_force(std::move(made));
+  has_full_configuration_ = true;
+  advance_complete_revision(revision);
+  return apply_changes(std::move(made));
 }
 
 std::vector<configuration_change> configuration_store::on_put(const boost::json::value& document)
 {
   changes made;
   put(document, complete_revision_, made);
-  return put_in_force(std::move(made));
+  return apply_changes(std::move(made));
 }
 
 std::vector<configuration_change> configuration_store::on_deleted(std::string_view name,
@@ -72,13 +72,13 @@
 {
   changes made;
   erase(name, revision, made);
-  return put_in_force(std::move(made));
+  return apply_changes(std::move(made));
 }
 
-void configuration_store::on_watched_through(std::uint64_t revision)
+void configuration_store::on_watch_progress(std::uint64_t revision)
 {
-  complete_through(revision);
-  put_in_force({});
+  advance_complete_revision(revision);
+  apply_changes({});
 }
 
 std::vector<configuration_change>
@@ -87,22 +87,22 @@
   on_peer_revision(snapshot.revision);
   changes made;
   merge_peer_objects(snapshot, made);
-  whole_ = true;
-  held_revision_ = std::max(held_revision_, snapshot.revision);
+  has_full_configuration_ = true;
+  full_revision_ = std::max(full_revision_, snapshot.revision);
   revision_ = std::max(revision_, snapshot.revision);
-  complete_through(snapshot.floor);
-  return put_in_force(std::move(made));
+  advance_complete_revision(snapshot.complete_revision);
+  return apply_changes(std::move(made));
 }
 
 void configuration_store::on_peer_revision(std::uint64_t revision)
 {
-  peer_floor_ = std::max(peer_floor_, revision);
+  required_revision_ = std::max(required_revision_, revision);
   update_readiness();
 }
 
-void configuration_store::on_peers_silent()
+void configuration_store::on_peers_unreachable()
 {
-  peers_silent_ = true;
+  peers_unreachable_ = true;
   update_readiness();
 }
 
@@ -111,25 +111,26 @@
   if (ready_) {
     return configuration_readiness::ready;
   }
-  const bool floor_known = peer_floor_ != 0 || (peers_silent_ && whole_);
-  return floor_known ? configuration_readiness::catching_up
-                     : configuration_readiness::floor_unknown;
+  const bool required_revision_known =
+      required_revision_ != 0 || (peers_unreachable_ && has_full_configuration_);
+  return required_revision_known ? configuration_readiness::catching_up
+                                 : configuration_readiness::required_revision_unknown;
 }
 
 configuration_snapshot configuration_store::snapshot() const
 {
-  configuration_snapshot taken{.revision = revision_, .floor = complete_revision_};
-  for (const auto& [name, known] : entries_) {
-    if (known.deleted_at != 0) {
-      taken.objects.push_back(make_tombstone(name, known.deleted_at));
+  configuration_snapshot result{.revision = revision_, .complete_revision = complete_revision_};
+  for (const auto& [name, state] : entries_) {
+    if (state.deleted_at != 0) {
+      result.objects.push_back(make_tombstone(name, state.deleted_at));
       continue;
     }
-    if (known.last_valid) {
-      taken.objects.push_back(known.last_valid->document);
+    if (state.last_valid) {
+      result.objects.push_back(state.last_valid->document);
     }
-    taken.objects.push_back(known.newest.document);
+    result.objects.push_back(state.newest.document);
   }
-  return taken;
+  return result;
 }
 
 configuration_store::object_version
@@ -144,12 +145,12 @@
   return version;
 }
 
-bool configuration_store::is_understood(const object_version& version)
+bool configuration_store::has_declared_object(const object_version& version)
 {
   return version.decoded && std::holds_alternative<declared_object>(*version.decoded);
 }
 
-void configuration_store::put(const boost::json::value& document, std::uint64_t known_through,
+void configuration_store::put(const boost::json::value& document, std::uint64_t complete_revision,
                               changes& made)
 {
   const auto identity = internal::identity_of(document);
@@ -157,71 +158,71 @@
     return;
   }
   const auto it = entries_.find(identity->name);
-  const auto seen = it == entries_.end() ? known_through : it->second.seen_revision();
+  const auto seen = it == entries_.end() ? complete_revision : it->second.latest_revision();
   if (identity->revision <= seen) {
     return;
   }
-  auto& known = entries_[identity->name];
-  const bool is_new = known.deleted_at != 0 || known.newest.revision == 0;
+  auto& state = entries_[identity->name];
+  const bool is_new = state.deleted_at != 0 || state.newest.revision == 0;
   made.push_back({.kind = is_new ? change_kind::added : change_kind::modified,
                   .name = identity->name,
-                  .old_revision = is_new ? 0 : known.newest.revision,
+                  .old_revision = is_new ? 0 : state.newest.revision,
                   .new_revision = identity->revision,
                   .document = document});
   if (is_new) {
-    known = entry{};
-  } else if (known.in_force_revision == known.newest.revision) {
-    known.last_valid = std::move(known.newest);
+    state = object_state{};
+  } else if (state.active_revision == state.newest.revision) {
+    state.last_valid = std::move(state.newest);
   }
-  known.newest = read_version(document, identity->revision);
+  state.newest = read_version(document, identity->revision);
   revision_ = std::max(revision_, identity->revision);
 }
 
-void configuration_store::offer_last_valid(const boost::json::value& document)
+void configuration_store::merge_last_valid(const boost::json::value& document)
 {
   const auto identity = internal::identity_of(document);
   const auto it = identity ? entries_.find(identity->name) : entries_.end();
   if (it == entries_.end()) {
     return;
   }
-  auto& known = it->second;
-  const bool newest_in_force = known.in_force_revision == known.newest.revision;
-  const bool helps = known.deleted_at == 0 && !newest_in_force &&
-                     identity->revision < known.newest.revision &&
-                     identity->revision > known.in_force_revision;
-  if (!helps) {
+  auto& state = it->second;
+  const bool newest_in_force = state.active_revision == state.newest.revision;
+  const bool is_better = state.deleted_at == 0 && !newest_in_force &&
+                         identity->revision < state.newest.revision &&
+                         identity->revision > state.active_revision;
+  if (!is_better) {
     return;
   }
   auto version = read_version(document, identity->revision);
-  if (is_understood(version)) {
-    known.last_valid = std::move(version);
+  if (has_declared_object(version)) {
+    state.last_valid = std::move(version);
   }
 }
 
 void configuration_store::erase(std::string_view name, std::uint64_t revision, changes& made)
 {
   const auto it = entries_.find(name);
-  const auto seen = it == entries_.end() ? complete_revision_ : it->second.seen_revision();
+  const auto seen = it == entries_.end() ? complete_revision_ : it->second.latest_revision();
   if (revision <= seen) {
     return;
   }
   revision_ = std::max(revision_, revision);
   if (it == entries_.end()) {
-    // Remembered, so that a late report of an older version does not bring the object back.
+    // Keeps a tombstone, so that a late event with an older version does not restore the object.
     entries_[std::string(name)].deleted_at = revision;
     return;
   }
-  auto& known = it->second;
-  if (known.deleted_at == 0) {
+  auto& state = it->second;
+  if (state.deleted_at == 0) {
     made.push_back({.kind = change_kind::deleted,
                     .name = std::string(name),
-                    .old_revision = known.newest.revision,
+                    .old_revision = state.newest.revision,
                     .new_revision = revision,
-                    .document = known.newest.document});
+                    .document = state.newest.document});
   }
-  known.last_valid.reset();
-  known.in_force_revision = 0;
-  known.deleted_at = revision;
+  state.last_valid.reset();
+  state.active_revision = 0;
+  state.deleted_at = revision;
 }
 
 void configuration_store::erase_absent(std::uint64_t revision,
@@ -230,23 +231,24 @@
 {
   const auto present = names_of(documents);
   std::vector<std::string> absent;
-  for (const auto& [name, known] : entries_) {
-    if (known.seen_revision() < revision && known.deleted_at == 0 && !present.contains(name)) {
+  for (const auto& [name, state] : entries_) {
+    if (state.latest_revision() < revision && state.deleted_at == 0 && !present.contains(name)) {
       absent.push_back(name);
     }
   }
   for (const auto& name : absent) {
-    // It was deleted after its newest version and no later than the list.
+    // The object was deleted after its newest version and no later than the list.
     erase(name, revision, made);
   }
 }
 
 void configuration_store::merge_peer_objects(const configuration_snapshot& snapshot, changes& made)
 {
-  const bool newer = !whole_ || snapshot.floor > complete_revision_;
-  const auto known_through = newer ? 0 : complete_revision_;
-  // Of two versions of one object the first is the last valid one: it must come into force before
-  // the second is tried.
+  const bool peer_is_newer =
+      !has_full_configuration_ || snapshot.complete_revision > complete_revision_;
+  const auto complete_revision = peer_is_newer ? 0 : complete_revision_;
+  // If the snapshot has two versions of an object, the first is its last valid one. It must become
+  // active before the second one is applied.
   std::map<std::string, const boost::json::value*> first;
   std::vector<const boost::json::value*> second;
   for (const auto& document : snapshot.objects) {
@@ -261,22 +263,22 @@
     }
   }
   for (const auto& [name, document] : first) {
-    offer_last_valid(*document);
-    put(*document, known_through, made);
+    merge_last_valid(*document);
+    put(*document, complete_revision, made);
   }
-  if (newer) {
-    erase_absent(snapshot.floor, snapshot.objects, made);
+  if (peer_is_newer) {
+    erase_absent(snapshot.complete_revision, snapshot.objects, made);
   }
   rebuild();
   for (const auto* document : second) {
-    put(*document, known_through, made);
+    put(*document, complete_revision, made);
   }
 }
 
-void configuration_store::complete_through(std::uint64_t revision)
+void configuration_store::advance_complete_revision(std::uint64_t revision)
 {
   complete_revision_ = std::max(complete_revision_, revision);
-  held_revision_ = std::max(held_revision_, complete_revision_);
+  full_revision_ = std::max(full_revision_, complete_revision_);
   revision_ = std::max(revision_, complete_revision_);
   std::erase_if(entries_, [&](const auto& item) {
     const auto deleted_at = item.second.deleted_at;
@@ -286,11 +288,12 @@
 
 void configuration_store::update_readiness()
 {
-  const bool floor_known = peer_floor_ != 0 || peers_silent_;
-  ready_ = ready_ || (whole_ && floor_known && held_revision_ >= peer_floor_);
+  const bool required_revision_known = required_revision_ != 0 || peers_unreachable_;
+  ready_ = ready_ || (has_full_configuration_ && required_revision_known &&
+                      full_revision_ >= required_revision_);
 }
 
-configuration_store::changes configuration_store::put_in_force(changes made)
+configuration_store::changes configuration_store::apply_changes(changes made)
 {
   update_readiness();
   if (!made.empty() || current_->revision() != revision_) {
@@ -307,81 +310,81 @@
   return made;
 }
 
-int configuration_store::rank_of(const entry& known)
+int configuration_store::dependency_rank_of(const object_state& state)
 {
   constexpr int no_rank = -1;
-  if (known.deleted_at != 0) {
+  if (state.deleted_at != 0) {
     return no_rank;
   }
-  if (is_understood(known.newest)) {
-    return reference_rank(std::get<declared_object>(*known.newest.decoded));
+  if (has_declared_object(state.newest)) {
+    return dependency_rank(std::get<declared_object>(*state.newest.decoded));
   }
-  return known.last_valid ? reference_rank(std::get<declared_object>(*known.last_valid->decoded))
+  return state.last_valid ? dependency_rank(std::get<declared_object>(*state.last_valid->decoded))
                           : no_rank;
 }
 
-void configuration_store::settle(entry& known, reference_index& index,
-                                 std::vector<declared_object>& in_force)
+void configuration_store::select_active_version(object_state& state, reference_index& index,
+                                                std::vector<declared_object>& active)
 {
-  const auto try_version = [&](object_version& version) {
+  const auto try_activate = [&](object_version& version) {
     const auto& object = std::get<declared_object>(*version.decoded);
-    if (const auto fault = index.find_fault(object)) {
-      version.reason = to_string(*fault);
+    if (const auto violation = index.find_violation(object)) {
+      version.reason = to_string(*violation);
       return false;
     }
-    known.in_force_revision = version.revision;
+    state.active_revision = version.revision;
     index.add(object);
-    in_force.push_back(object);
+    active.push_back(object);
     return true;
   };
-  const int rank = rank_of(known);
-  known.in_force_revision = 0;
-  if (is_understood(known.newest) && try_version(known.newest)) {
-    // What was once replaced by a version in force never comes back.
-    known.last_valid.reset();
+  const int rank = dependency_rank_of(state);
+  state.active_revision = 0;
+  if (has_declared_object(state.newest) && try_activate(state.newest)) {
+    // A version that an active version has replaced is never used again.
+    state.last_valid.reset();
     return;
   }
-  if (known.last_valid &&
-      reference_rank(std::get<declared_object>(*known.last_valid->decoded)) == rank) {
-    try_version(*known.last_valid);
+  if (state.last_valid &&
+      dependency_rank(std::get<declared_object>(*state.last_valid->decoded)) == rank) {
+    try_activate(*state.last_valid);
   }
 }
 
-void configuration_store::note_rejected(const std::string& name, const entry& known)
+void configuration_store::add_rejected(const std::string& name, const object_state& state)
 {
   rejected_.push_back({.name = name,
-                       .revision = known.newest.revision,
-                       .in_force_revision = known.in_force_revision,
-                       .reason = known.newest.reason});
+                       .revision = state.newest.revision,
+                       .active_revision = state.active_revision,
+                       .reason = state.newest.reason});
 }
 
 void configuration_store::rebuild()
 {
   rejected_.clear();
-  std::vector<declared_object> in_force;
-  std::vector<not_understood_object> not_understood;
+  std::vector<declared_object> active;
+  std::vector<unsupported_object> unsupported;
   reference_index index;
-  constexpr int ranks = 3;
-  for (int rank = 0; rank < ranks; ++rank) {
-    for (auto& [name, known] : entries_) {
-      if (rank_of(known) == rank) {
-        settle(known, index, in_force);
+  constexpr int rank_count = 3;
+  for (int rank = 0; rank < rank_count; ++rank) {
+    for (auto& [name, state] : entries_) {
+      if (dependency_rank_of(state) == rank) {
+        select_active_version(state, index, active);
       }
     }
   }
-  for (const auto& [name, known] : entries_) {
-    if (known.deleted_at != 0) {
+  for (const auto& [name, state] : entries_) {
+    if (state.deleted_at != 0) {
       continue;
     }
-    const auto& decoded = known.newest.decoded;
-    if (decoded && std::holds_alternative<not_understood_object>(*decoded)) {
-      not_understood.push_back(std::get<not_understood_object>(*decoded));
-    } else if (known.in_force_revision != known.newest.revision) {
-      note_rejected(name, known);
+    const auto& decoded = state.newest.decoded;
+    if (decoded && std::holds_alternative<unsupported_object>(*decoded)) {
+      unsupported.push_back(std::get<unsupported_object>(*decoded));
+    } else if (state.active_revision != state.newest.revision) {
+      add_rejected(name, state);
     }
   }
-  current_ = std::make_shared<const fleet_configuration>(revision_, std::move(in_force),
-                                                         std::move(not_understood));
+  current_ = std::make_shared<const fleet_configuration>(revision_, std::move(active),
+                                                         std::move(unsupported));
 }
 
 } // namespace wisteriaflow::objects
--- a/src/objects/encode.cc
+++ b/src/objects/encode.cc
@@ -1,4 +1,4 @@
-// The canonical writer of declared objects.
+// Encodes declared objects as canonical JSON.
 
 #include <boost/json/array.hpp>
 #include <boost/json/object.hpp>
--- a/src/objects/field_reader.cc
+++ b/src/objects/field_reader.cc
@@ -10,17 +10,17 @@
 
 const boost::json::value empty_object = boost::json::object{};
 
-// Long values are cut in messages.
-constexpr std::size_t shown_value_limit = 80;
+// Longer values are truncated in error messages.
+constexpr std::size_t max_value_length = 80;
 
-std::string shown(const boost::json::value* value)
+std::string to_message_text(const boost::json::value* value)
 {
   if (value == nullptr) {
     return "(absent)";
   }
   std::string text = boost::json::serialize(*value);
-  if (text.size() > shown_value_limit) {
-    text = text.substr(0, shown_value_limit) + "...";
+  if (text.size() > max_value_length) {
+    text = text.substr(0, max_value_length) + "...";
   }
   return text;
 }
@@ -32,7 +32,7 @@
   return text.str();
 }
 
-template <typename strings> std::string list_of(const strings& items)
+template <typename strings> std::string join(const strings& items)
 {
   std::string text;
   for (const auto& item : items) {
@@ -44,21 +44,21 @@
 
 } // namespace
 
-field_reader::field_reader(owner whose, std::string path, const boost::json::value& value)
-    : whose_(std::move(whose)), path_(std::move(path)), fields_(value.if_object())
+field_reader::field_reader(object_id id, std::string path, const boost::json::value& value)
+    : id_(std::move(id)), path_(std::move(path)), fields_(value.if_object())
 {
   if (fields_ == nullptr) {
-    throw invalid_object_error({.kind = whose_.kind,
-                                .name = whose_.name,
+    throw invalid_object_error({.kind = id_.kind,
+                                .name = id_.name,
                                 .field = path_,
-                                .value = shown(&value),
+                                .value = to_message_text(&value),
                                 .allowed = "an object"});
   }
 }
 
 const boost::json::value* field_reader::find(std::string_view key)
 {
-  asked_.emplace_back(key);
+  read_keys_.emplace_back(key);
   const auto* value = fields_->if_contains(key);
   return value == nullptr || value->is_null() ? nullptr : value;
 }
@@ -87,11 +87,11 @@
 std::string field_reader::one_of(std::string_view key, const std::vector<std::string_view>& choices,
                                  std::string_view fallback)
 {
-  std::string chosen = string_or(key, std::string(fallback));
-  if (std::find(choices.begin(), choices.end(), chosen) == choices.end()) {
-    reject(key, "one of " + list_of(choices));
+  std::string value = string_or(key, std::string(fallback));
+  if (std::find(choices.begin(), choices.end(), value) == choices.end()) {
+    reject(key, "one of " + join(choices));
   }
-  return chosen;
+  return value;
 }
 
 std::optional<double> field_reader::optional_number(std::string_view key,
@@ -181,7 +181,7 @@
 field_reader field_reader::nested(std::string_view key)
 {
   const auto* value = find(key);
-  return {whose_, path_ + "." + std::string(key), value == nullptr ? empty_object : *value};
+  return {id_, path_ + "." + std::string(key), value == nullptr ? empty_object : *value};
 }
 
 std::vector<std::string> field_reader::keys()
@@ -190,26 +190,26 @@
   for (const auto& field : *fields_) {
     keys.emplace_back(field.key());
   }
-  asked_.insert(asked_.end(), keys.begin(), keys.end());
+  read_keys_.insert(read_keys_.end(), keys.begin(), keys.end());
   return keys;
 }
 
-void field_reader::finish() const
+void field_reader::reject_unread_fields() const
 {
   for (const auto& field : *fields_) {
     const std::string_view key = field.key();
-    if (std::find(asked_.begin(), asked_.end(), key) == asked_.end()) {
-      reject(key, "only the fields " + list_of(asked_));
+    if (std::find(read_keys_.begin(), read_keys_.end(), key) == read_keys_.end()) {
+      reject(key, "only the fields " + join(read_keys_));
     }
   }
 }
 
 void field_reader::reject(std::string_view key, std::string allowed) const
 {
-  throw invalid_object_error({.kind = whose_.kind,
-                              .name = whose_.name,
+  throw invalid_object_error({.kind = id_.kind,
+                              .name = id_.name,
                               .field = path_ + "." + std::string(key),
-                              .value = shown(fields_->if_contains(key)),
+                              .value = to_message_text(fields_->if_contains(key)),
                               .allowed = std::move(allowed)});
 }
 
--- a/src/objects/field_reader.h
+++ b/src/objects/field_reader.h
@@ -1,5 +1,9 @@
-// Reads the fields of one JSON object, checking type and range, and refuses fields that nobody
-// asked for. Errors name the declared object, the field's path, the value and what is allowed.
+// Reads the fields of one JSON object, validates types and ranges, and rejects unknown fields.
+// Errors contain the declared object, the path of the field, its value and the allowed values.
+//
+//   field_reader spec(id, "spec", value);
+//   const auto timeout_ms = spec.integer_or("timeout_ms", {1, 60'000}, 1000);
+//   spec.reject_unread_fields();
 
 #ifndef WISTERIAFLOW_SRC_OBJECTS_FIELD_READER_H_
 #define WISTERIAFLOW_SRC_OBJECTS_FIELD_READER_H_
@@ -19,26 +23,28 @@
 
 namespace wisteriaflow::objects::internal {
 
-// Whose fields are read, for error messages.
-struct owner {
+// Kind and name of the declared object that is read, for error messages.
+struct object_id {
   std::string kind;
   std::string name;
 };
 
-// Both ends are allowed.
+// The allowed range of a number, both ends included.
 template <typename number> struct allowed_range {
   number min;
   number max;
 };
 
+// Reads the fields of one JSON object and records which keys were read.
 class field_reader {
  public:
-  // Reads the fields of `value`, which stands at `path`. Throws invalid_object_error if it is not
-  // an object. `value` must outlive the reader.
-  field_reader(owner whose, std::string path, const boost::json::value& value);
+  // Reads the fields of `value`, located at `path`. Throws invalid_object_error if it is not an
+  // object. `value` must outlive the reader.
+  field_reader(object_id id, std::string path, const boost::json::value& value);
 
-  // Each throws invalid_object_error if the field is missing, mistyped or out of range; those with
-  // a fallback return it if the field is missing or null.
+  // Each throws invalid_object_error if the field is of the wrong type or out of range. If it is
+  // missing or null, required_string throws (also if it is empty), the optional_* functions return
+  // nullopt, selector_or_all returns the empty selector, and the others return the fallback.
   std::string required_string(std::string_view key);
   std::string string_or(std::string_view key, std::string fallback);
   std::string one_of(std::string_view key, const std::vector<std::string_view>& choices,
@@ -53,26 +59,27 @@
   selector selector_or_all(std::string_view key);
   std::vector<std::string> strings_or(std::string_view key, std::vector<std::string> fallback);
 
-  // The field's value if it is there; its own fields are read by a reader of its own.
+  // The value of the field, or null if it is missing or JSON null. Fields inside the value are not
+  // validated; use another reader for them.
   const boost::json::value* find(std::string_view key);
 
-  // A reader of the object at `key`; of an empty one if it is missing.
+  // A reader of the object at `key`, or of an empty object if the field is missing.
   field_reader nested(std::string_view key);
 
-  // The keys of the object, as for a map. Marks all as read.
+  // All keys of the object, for objects used as maps. Marks all of them as read.
   std::vector<std::string> keys();
 
-  // Throws if a field is left that was not asked for.
-  void finish() const;
+  // Throws invalid_object_error if the object has a field that was not read.
+  void reject_unread_fields() const;
 
-  // Throws invalid_object_error for `key` as it stands.
+  // Throws invalid_object_error for the field `key` with its current value.
   [[noreturn]] void reject(std::string_view key, std::string allowed) const;
 
  private:
-  owner whose_;
+  object_id id_;
   std::string path_;
   const boost::json::object* fields_ = nullptr;
-  std::vector<std::string> asked_;
+  std::vector<std::string> read_keys_;
 };
 
 } // namespace wisteriaflow::objects::internal
--- a/src/objects/fleet_configuration.cc
+++ b/src/objects/fleet_configuration.cc
@@ -14,7 +14,7 @@
             [](const auto& a, const auto& b) { return a.metadata.name < b.metadata.name; });
 }
 
-bool goes_before(const routing_intent& a, const routing_intent& b)
+bool precedes(const routing_intent& a, const routing_intent& b)
 {
   if (a.priority != b.priority) {
     return a.priority > b.priority;
@@ -39,56 +39,56 @@
   return metadata.labels.with(name_label, metadata.name);
 }
 
-template <typename item> bool allows(const std::vector<item>& allowed, const item& wanted)
+template <typename item> bool is_allowed(const std::vector<item>& allowed, const item& value)
 {
-  return allowed.empty() || std::find(allowed.begin(), allowed.end(), wanted) != allowed.end();
+  return allowed.empty() || std::find(allowed.begin(), allowed.end(), value) != allowed.end();
 }
 
-// Collects what make_fleet_configuration reads, with the faults found on the way.
-struct decoded_list {
+// The decoded documents of make_fleet_configuration and the violations found so far.
+struct decoded_documents {
   std::vector<declared_object> objects;
-  std::vector<not_understood_object> not_understood;
-  std::vector<object_fault> faults;
+  std::vector<unsupported_object> unsupported;
+  std::vector<field_violation> violations;
 };
 
-void decode_into(decoded_list& list, const boost::json::value& document)
+void decode_into(decoded_documents& list, const boost::json::value& document)
 {
   try {
     auto decoded = decode_object(document);
     if (auto* object = std::get_if<declared_object>(&decoded)) {
       list.objects.push_back(std::move(*object));
     } else {
-      list.not_understood.push_back(std::get<not_understood_object>(std::move(decoded)));
+      list.unsupported.push_back(std::get<unsupported_object>(std::move(decoded)));
     }
   } catch (const invalid_object_error& e) {
-    list.faults.push_back(e.fault());
+    list.violations.push_back(e.violation());
   }
 }
 
-void check_names(decoded_list& list)
+void check_unique_names(decoded_documents& list)
 {
   std::set<std::string> names;
   for (const auto& object : list.objects) {
     const auto& name = metadata_of(object).name;
     if (!names.insert(name).second) {
-      list.faults.push_back({.kind = std::string(kind_of(object)),
-                             .name = name,
-                             .field = "metadata.name",
-                             .value = "\"" + name + "\"",
-                             .allowed = "a name that no other object has, of whatever kind"});
+      list.violations.push_back({.kind = std::string(kind_of(object)),
+                                 .name = name,
+                                 .field = "metadata.name",
+                                 .value = "\"" + name + "\"",
+                                 .allowed = "a name that no other object has, of whatever kind"});
     }
   }
 }
 
-void check_references(decoded_list& list)
+void check_references(decoded_documents& list)
 {
   std::stable_sort(list.objects.begin(), list.objects.end(), [](const auto& a, const auto& b) {
-    return reference_rank(a) < reference_rank(b);
+    return dependency_rank(a) < dependency_rank(b);
   });
   reference_index index;
   for (const auto& object : list.objects) {
-    if (auto fault = index.find_fault(object)) {
-      list.faults.push_back(std::move(*fault));
+    if (auto violation = index.find_violation(object)) {
+      list.violations.push_back(std::move(*violation));
     }
     index.add(object);
   }
@@ -98,26 +98,26 @@
 
 fleet_configuration::fleet_configuration(std::uint64_t revision,
                                          std::vector<declared_object> objects,
-                                         std::vector<not_understood_object> not_understood)
-    : revision_(revision), not_understood_(std::move(not_understood))
-{
-  struct sorter {
-    fleet_configuration& to;
-    void operator()(workspace&& o) const { to.workspaces_.push_back(std::move(o)); }
-    void operator()(pool&& o) const { to.pools_.push_back(std::move(o)); }
-    void operator()(model_version&& o) const { to.model_versions_.push_back(std::move(o)); }
-    void operator()(routing_intent&& o) const { to.intents_.push_back(std::move(o)); }
-    void operator()(service&& o) const { to.services_.push_back(std::move(o)); }
+                                         std::vector<unsupported_object> unsupported)
+    : revision_(revision), unsupported_(std::move(unsupported))
+{
+  struct distributor {
+    fleet_configuration& target;
+    void operator()(workspace&& o) const { target.workspaces_.push_back(std::move(o)); }
+    void operator()(pool&& o) const { target.pools_.push_back(std::move(o)); }
+    void operator()(model_version&& o) const { target.model_versions_.push_back(std::move(o)); }
+    void operator()(routing_intent&& o) const { target.intents_.push_back(std::move(o)); }
+    void operator()(service&& o) const { target.services_.push_back(std::move(o)); }
   };
   for (auto& object : objects) {
-    std::visit(sorter{*this}, std::move(object));
+    std::visit(distributor{*this}, std::move(object));
   }
   sort_by_name(workspaces_);
   sort_by_name(pools_);
   sort_by_name(model_versions_);
   sort_by_name(services_);
-  sort_by_name(not_understood_);
-  std::sort(intents_.begin(), intents_.end(), goes_before);
+  sort_by_name(unsupported_);
+  std::sort(intents_.begin(), intents_.end(), precedes);
   index_intents();
 }
 
@@ -125,10 +125,10 @@
 {
   for (const auto& w : workspaces_) {
     const auto labels = labels_with_name(w.metadata);
-    auto& places = intents_of_workspace_[w.id()];
+    auto& positions = intents_of_workspace_[w.id()];
     for (std::size_t i = 0; i < intents_.size(); ++i) {
       if (intents_[i].workspace_selector.matches(labels)) {
-        places.push_back(i);
+        positions.push_back(i);
       }
     }
   }
@@ -149,7 +149,7 @@
   return find_by_name(services_, name);
 }
 
-bool fleet_configuration::knows_model(const model_id& model) const
+bool fleet_configuration::has_model(const model_id& model) const
 {
   return std::any_of(model_versions_.begin(), model_versions_.end(),
                      [&](const model_version& m) { return m.model == model; });
@@ -163,10 +163,10 @@
   if (found == intents_of_workspace_.end()) {
     return matching;
   }
-  for (const auto place : found->second) {
-    const auto& intent = intents_[place];
-    const bool right_model = request.model.empty() || request.model == model_of(intent);
-    if (right_model && intent.request_selector.matches(request.labels)) {
+  for (const auto position : found->second) {
+    const auto& intent = intents_[position];
+    const bool model_matches = request.model.empty() || request.model == model_of(intent);
+    if (model_matches && intent.request_selector.matches(request.labels)) {
       matching.push_back(&intent);
     }
   }
@@ -190,31 +190,33 @@
          intent.instance_selector.matches(instance.labels);
 }
 
-bool is_eligible(const pool& members, const instance_description& instance)
+bool is_eligible(const pool& candidate_pool, const instance_description& instance)
 {
-  return members.role == instance.role && allows(members.availability_zones, instance.zone) &&
-         allows(members.instance_classes, instance.instance_class) &&
-         members.instance_selector.matches(instance.labels);
+  return candidate_pool.role == instance.role &&
+         is_allowed(candidate_pool.availability_zones, instance.zone) &&
+         is_allowed(candidate_pool.instance_classes, instance.instance_class) &&
+         candidate_pool.instance_selector.matches(instance.labels);
 }
 
-bool is_eligible(const service& target, const instance_description& instance)
+bool is_eligible(const service& candidate_service, const instance_description& instance)
 {
-  return instance.role == pool_role::service && target.instance_selector.matches(instance.labels);
+  return instance.role == pool_role::service &&
+         candidate_service.instance_selector.matches(instance.labels);
 }
 
 fleet_configuration make_fleet_configuration(std::uint64_t revision,
                                              const std::vector<boost::json::value>& documents)
 {
-  decoded_list list;
+  decoded_documents list;
   for (const auto& document : documents) {
     decode_into(list, document);
   }
-  check_names(list);
+  check_unique_names(list);
   check_references(list);
-  if (!list.faults.empty()) {
-    throw configuration_error(std::move(list.faults));
+  if (!list.violations.empty()) {
+    throw configuration_error(std::move(list.violations));
   }
-  return {revision, std::move(list.objects), std::move(list.not_understood)};
+  return {revision, std::move(list.objects), std::move(list.unsupported)};
 }
 
 } // namespace wisteriaflow::objects
--- a/src/objects/label_set.cc
+++ b/src/objects/label_set.cc
@@ -7,33 +7,35 @@
 namespace wisteriaflow::objects {
 namespace {
 
-constexpr std::size_t name_limit = 63;
-constexpr std::size_t prefix_limit = 253;
+constexpr std::size_t max_name_length = 63;
+constexpr std::size_t max_prefix_length = 253;
 
 bool is_alphanumeric(char c)
 {
   return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9');
 }
 
-bool is_inner(char c)
+bool is_name_character(char c)
 {
   return is_alphanumeric(c) || c == '-' || c == '_' || c == '.';
 }
 
 bool is_name(std::string_view text)
 {
-  return !text.empty() && text.size() <= name_limit && is_alphanumeric(text.front()) &&
-         is_alphanumeric(text.back()) && std::all_of(text.begin(), text.end(), is_inner);
+  return !text.empty() && text.size() <= max_name_length && is_alphanumeric(text.front()) &&
+         is_alphanumeric(text.back()) && std::all_of(text.begin(), text.end(), is_name_character);
 }
 
 bool is_prefix(std::string_view text)
 {
-  const auto is_dns = [](char c) { return is_inner(c) && c != '_' && (c < 'A' || c > 'Z'); };
-  return !text.empty() && text.size() <= prefix_limit && is_alphanumeric(text.front()) &&
-         is_alphanumeric(text.back()) && std::all_of(text.begin(), text.end(), is_dns);
+  const auto is_dns_character = [](char c) {
+    return is_name_character(c) && c != '_' && (c < 'A' || c > 'Z');
+  };
+  return !text.empty() && text.size() <= max_prefix_length && is_alphanumeric(text.front()) &&
+         is_alphanumeric(text.back()) && std::all_of(text.begin(), text.end(), is_dns_character);
 }
 
-void require_label(std::string_view key, std::string_view value)
+void validate_label(std::string_view key, std::string_view value)
 {
   if (!is_label_key(key)) {
     throw label_error("label key \"" + std::string(key) +
@@ -80,13 +82,13 @@
 label_set::label_set(std::vector<entry> entries) : entries_(std::move(entries))
 {
   for (const auto& [key, value] : entries_) {
-    require_label(key, value);
+    validate_label(key, value);
   }
   std::sort(entries_.begin(), entries_.end());
   const auto same_key = [](const entry& a, const entry& b) { return a.first == b.first; };
-  const auto twice = std::adjacent_find(entries_.begin(), entries_.end(), same_key);
-  if (twice != entries_.end()) {
-    throw label_error("label key \"" + twice->first + "\" stands twice");
+  const auto duplicate = std::adjacent_find(entries_.begin(), entries_.end(), same_key);
+  if (duplicate != entries_.end()) {
+    throw label_error("label key \"" + duplicate->first + "\" stands twice");
   }
 }
 
@@ -105,7 +107,7 @@
 
 label_set label_set::with(std::string_view key, std::string_view value) const
 {
-  require_label(key, value);
+  validate_label(key, value);
   label_set changed = without(key);
   const auto it = std::lower_bound(changed.entries_.begin(), changed.entries_.end(), key, key_less);
   changed.entries_.emplace(it, key, value);
--- a/src/objects/metadata_codec.cc
+++ b/src/objects/metadata_codec.cc
@@ -1,4 +1,4 @@
-// Reads the part of a document that all kinds share.
+// Decodes the metadata, which all kinds have in common.
 
 #include "objects/metadata_codec.h"
 
@@ -11,14 +11,16 @@
 namespace wisteriaflow::objects {
 namespace {
 
-constexpr std::size_t name_limit = 253;
+constexpr std::size_t max_name_length = 253;
 
 bool is_object_name(std::string_view text)
 {
-  const auto is_end = [](char c) { return (c >= 'a' && c <= 'z') || (c >= '0' && c <= '9'); };
-  const auto is_inner = [&](char c) { return is_end(c) || c == '-' || c == '.'; };
-  return !text.empty() && text.size() <= name_limit && is_end(text.front()) &&
-         is_end(text.back()) && std::all_of(text.begin(), text.end(), is_inner);
+  const auto is_alphanumeric = [](char c) {
+    return (c >= 'a' && c <= 'z') || (c >= '0' && c <= '9');
+  };
+  const auto is_name_character = [&](char c) { return is_alphanumeric(c) || c == '-' || c == '.'; };
+  return !text.empty() && text.size() <= max_name_length && is_alphanumeric(text.front()) &&
+         is_alphanumeric(text.back()) && std::all_of(text.begin(), text.end(), is_name_character);
 }
 
 std::optional<std::uint64_t> parse_revision(std::string_view text)
@@ -46,7 +48,7 @@
   return object == nullptr ? nullptr : object->if_contains(key);
 }
 
-std::string string_in(const boost::json::value* value)
+std::string string_or_empty(const boost::json::value* value)
 {
   return value != nullptr && value->is_string() ? std::string(value->get_string()) : "";
 }
@@ -68,28 +70,28 @@
 std::map<std::string, std::string> read_annotations(internal::field_reader& fields)
 {
   auto annotations = fields.nested("annotations");
-  std::map<std::string, std::string> read;
+  std::map<std::string, std::string> result;
   for (const auto& key : annotations.keys()) {
-    read.emplace(key, annotations.string_or(key, ""));
+    result.emplace(key, annotations.string_or(key, ""));
   }
-  return read;
+  return result;
 }
 
 } // namespace
 
 namespace internal {
 
-std::string kind_in(const boost::json::value& document)
+std::string read_kind(const boost::json::value& document)
 {
-  auto kind = string_in(find_field(&document, "kind"));
+  auto kind = string_or_empty(find_field(&document, "kind"));
   return kind.empty() ? "(no kind)" : kind;
 }
 
 std::optional<document_identity> identity_of(const boost::json::value& document)
 {
   const auto* metadata = find_field(&document, "metadata");
-  auto name = string_in(find_field(metadata, "name"));
-  const auto revision = parse_revision(string_in(find_field(metadata, "resourceVersion")));
+  auto name = string_or_empty(find_field(metadata, "name"));
+  const auto revision = parse_revision(string_or_empty(find_field(metadata, "resourceVersion")));
   if (name.empty() || !revision) {
     return std::nullopt;
   }
@@ -100,14 +102,14 @@
 
 object_metadata decode_metadata(const boost::json::value& document)
 {
-  internal::owner whose{.kind = internal::kind_in(document), .name = "(no name)"};
-  internal::field_reader top(whose, "document", document);
-  whose.name = top.nested("metadata").string_or("name", whose.name);
-  const auto* value = top.find("metadata");
+  internal::object_id id{.kind = internal::read_kind(document), .name = "(no name)"};
+  internal::field_reader root(id, "document", document);
+  id.name = root.nested("metadata").string_or("name", id.name);
+  const auto* value = root.find("metadata");
   if (value == nullptr) {
-    top.reject("metadata", "an object with a name");
+    root.reject("metadata", "an object with a name");
   }
-  internal::field_reader fields(whose, "metadata", *value);
+  internal::field_reader fields(id, "metadata", *value);
   const auto name = fields.required_string("name");
   if (!is_object_name(name)) {
     fields.reject("name", "lower-case letters, digits, '-' and '.', beginning and ending with a "
--- a/src/objects/references.cc
+++ b/src/objects/references.cc
@@ -10,44 +10,44 @@
 
 } // namespace
 
-std::optional<object_fault> reference_index::find_fault(const declared_object& object) const
+std::optional<field_violation> reference_index::find_violation(const declared_object& object) const
 {
   if (const auto* p = std::get_if<pool>(&object)) {
-    return find_fault(*p);
+    return find_violation(*p);
   }
   if (const auto* i = std::get_if<routing_intent>(&object)) {
-    return find_fault(*i);
+    return find_violation(*i);
   }
   return std::nullopt;
 }
 
-std::optional<object_fault> reference_index::find_fault(const pool& p) const
+std::optional<field_violation> reference_index::find_violation(const pool& p) const
 {
   if (p.model.empty() || models_.contains(p.model)) {
     return std::nullopt;
   }
-  return object_fault{.kind = "Pool",
-                      .name = p.metadata.name,
-                      .field = "spec.model",
-                      .value = quoted(p.model.value()),
-                      .allowed = "the model of a declared ModelVersion"};
+  return field_violation{.kind = "Pool",
+                         .name = p.metadata.name,
+                         .field = "spec.model",
+                         .value = quoted(p.model.value()),
+                         .allowed = "the model of a declared ModelVersion"};
 }
 
-std::optional<object_fault> reference_index::find_fault(const routing_intent& i) const
+std::optional<field_violation> reference_index::find_violation(const routing_intent& i) const
 {
-  object_fault fault{.kind = "RoutingIntent", .name = i.metadata.name};
+  field_violation violation{.kind = "RoutingIntent", .name = i.metadata.name};
   const auto found = pools_.find(i.pool);
   if (found == pools_.end()) {
-    fault.field = "spec.pool";
-    fault.value = quoted(i.pool);
-    fault.allowed = "the name of a Pool that is in force";
-    return fault;
+    violation.field = "spec.pool";
+    violation.value = quoted(i.pool);
+    violation.allowed = "the name of a Pool that is in force";
+    return violation;
   }
   if (!i.model.empty() && i.model != found->second) {
-    fault.field = "spec.model";
-    fault.value = quoted(i.model.value());
-    fault.allowed = "the model of pool " + i.pool + ", " + quoted(found->second.value());
-    return fault;
+    violation.field = "spec.model";
+    violation.value = quoted(i.model.value());
+    violation.allowed = "the model of pool " + i.pool + ", " + quoted(found->second.value());
+    return violation;
   }
   return std::nullopt;
 }
@@ -62,7 +62,7 @@
   }
 }
 
-int reference_rank(const declared_object& object)
+int dependency_rank(const declared_object& object)
 {
   constexpr int model_version_rank = 0;
   constexpr int pool_rank = 1;
--- a/src/objects/rfc3339.cc
+++ b/src/objects/rfc3339.cc
@@ -1,4 +1,4 @@
-// Times as RFC 3339 text with milliseconds, in UTC.
+// Formats and parses RFC 3339 times in UTC with milliseconds.
 
 #include <chrono>
 #include <cstdio>
@@ -9,7 +9,8 @@
 namespace wisteriaflow::objects {
 namespace {
 
-constexpr int seconds_of_leap_minute = 60;
+// A leap second is number 60.
+constexpr int max_second = 60;
 
 // The fields of "2026-12-02T15:04:05.678Z".
 struct time_fields {
@@ -22,23 +23,24 @@
   int millisecond = 0;
 };
 
-constexpr std::string_view form = "dddd-dd-ddTdd:dd:dd.dddZ";
+// 'd' matches a digit, every other character itself.
+constexpr std::string_view time_format = "dddd-dd-ddTdd:dd:dd.dddZ";
 
-bool has_form(std::string_view text)
+bool matches_format(std::string_view text)
 {
-  if (text.size() != form.size()) {
+  if (text.size() != time_format.size()) {
     return false;
   }
-  for (std::size_t i = 0; i < form.size(); ++i) {
+  for (std::size_t i = 0; i < time_format.size(); ++i) {
     const bool digit = text[i] >= '0' && text[i] <= '9';
-    if (form[i] == 'd' ? !digit : text[i] != form[i]) {
+    if (time_format[i] == 'd' ? !digit : text[i] != time_format[i]) {
       return false;
     }
   }
   return true;
 }
 
-int number_at(std::string_view text, std::size_t begin, std::size_t count)
+int parse_digits(std::string_view text, std::size_t begin, std::size_t count)
 {
   int number = 0;
   for (const char c : text.substr(begin, count)) {
@@ -47,15 +49,15 @@
   return number;
 }
 
-time_fields split(std::string_view text)
+time_fields parse_fields(std::string_view text)
 {
-  return {.year = number_at(text, 0, 4),
-          .month = static_cast<unsigned>(number_at(text, 5, 2)),
-          .day = static_cast<unsigned>(number_at(text, 8, 2)),
-          .hour = number_at(text, 11, 2),
-          .minute = number_at(text, 14, 2),
-          .second = number_at(text, 17, 2),
-          .millisecond = number_at(text, 20, 3)};
+  return {.year = parse_digits(text, 0, 4),
+          .month = static_cast<unsigned>(parse_digits(text, 5, 2)),
+          .day = static_cast<unsigned>(parse_digits(text, 8, 2)),
+          .hour = parse_digits(text, 11, 2),
+          .minute = parse_digits(text, 14, 2),
+          .second = parse_digits(text, 17, 2),
+          .millisecond = parse_digits(text, 20, 3)};
 }
 
 } // namespace
@@ -65,8 +67,8 @@
   const auto day = std::chrono::floor<std::chrono::days>(t);
   const std::chrono::year_month_day date(day);
   const std::chrono::hh_mm_ss time(t - day);
-  constexpr std::size_t enough = 48;
-  std::string text(enough, '\0');
+  constexpr std::size_t buffer_size = 48;
+  std::string text(buffer_size, '\0');
   const int size = std::snprintf(
       text.data(), text.size(), "%04d-%02u-%02uT%02d:%02d:%02d.%03dZ",
       static_cast<int>(date.year()), static_cast<unsigned>(date.month()),
@@ -80,15 +82,14 @@
 wall_time parse_rfc3339(std::string_view text)
 {
   const auto malformed = [&] { return objects_error("not a time: " + std::string(text)); };
-  if (!has_form(text)) {
+  if (!matches_format(text)) {
     throw malformed();
   }
-  const auto fields = split(text);
+  const auto fields = parse_fields(text);
   const std::chrono::year_month_day date(std::chrono::year(fields.year),
                                          std::chrono::month(fields.month),
                                          std::chrono::day(fields.day));
-  if (!date.ok() || fields.hour > 23 || fields.minute > 59 ||
-      fields.second > seconds_of_leap_minute) {
+  if (!date.ok() || fields.hour > 23 || fields.minute > 59 || fields.second > max_second) {
     throw malformed();
   }
   return std::chrono::sys_days(date) + std::chrono::hours(fields.hour) +
--- a/src/objects/selector.cc
+++ b/src/objects/selector.cc
@@ -7,7 +7,7 @@
 namespace wisteriaflow::objects {
 namespace {
 
-// Reads a selector from left to right; `position_` is where the next token begins.
+// Recursive descent parser of selectors. `position_` is the start of the next token.
 class selector_parser {
  public:
   explicit selector_parser(std::string_view text) : text_(text) {}
@@ -49,7 +49,7 @@
   requirement parse_set_requirement(std::string key)
   {
     const auto begin = position_;
-    const auto word = take_word();
+    const auto word = read_word();
     if (word != "in" && word != "notin") {
       fail(begin, "'=', '==', '!=', 'in', 'notin', ',' or the end");
     }
@@ -72,7 +72,7 @@
   std::string parse_key()
   {
     const auto begin = position_;
-    const auto word = take_word();
+    const auto word = read_word();
     if (!is_label_key(word)) {
       fail(begin, "a label key");
     }
@@ -82,14 +82,14 @@
   std::string parse_value()
   {
     const auto begin = position_;
-    const auto word = take_word();
+    const auto word = read_word();
     if (!is_label_value(word)) {
       fail(begin, "a label value");
     }
     return std::string(word);
   }
 
-  std::string_view take_word()
+  std::string_view read_word()
   {
     const auto begin = position_;
     const auto end = std::min(text_.find_first_of(" \t,=!()", begin), text_.size());
@@ -140,33 +140,33 @@
   return text;
 }
 
-std::string to_string(const requirement& wanted)
+std::string to_string(const requirement& condition)
 {
-  const bool single = wanted.values.size() == 1;
-  switch (wanted.op) {
+  const bool single = condition.values.size() == 1;
+  switch (condition.op) {
   case selector_operator::in:
-    return single ? wanted.key + "=" + wanted.values[0]
-                  : wanted.key + " in (" + join(wanted.values) + ")";
+    return single ? condition.key + "=" + condition.values[0]
+                  : condition.key + " in (" + join(condition.values) + ")";
   case selector_operator::not_in:
-    return single ? wanted.key + "!=" + wanted.values[0]
-                  : wanted.key + " notin (" + join(wanted.values) + ")";
+    return single ? condition.key + "!=" + condition.values[0]
+                  : condition.key + " notin (" + join(condition.values) + ")";
   case selector_operator::exists:
-    return wanted.key;
+    return condition.key;
   case selector_operator::does_not_exist:
-    return "!" + wanted.key;
+    return "!" + condition.key;
   }
   return {};
 }
 
 } // namespace
 
-bool matches(const requirement& wanted, const label_set& labels)
+bool matches(const requirement& condition, const label_set& labels)
 {
-  const auto value = labels.find(wanted.key);
+  const auto value = labels.find(condition.key);
   const auto is_listed = [&] {
-    return value && std::binary_search(wanted.values.begin(), wanted.values.end(), *value);
+    return value && std::binary_search(condition.values.begin(), condition.values.end(), *value);
   };
-  switch (wanted.op) {
+  switch (condition.op) {
   case selector_operator::in:
     return is_listed();
   case selector_operator::not_in:
@@ -181,17 +181,19 @@
 
 selector::selector(std::vector<requirement> requirements) : requirements_(std::move(requirements))
 {
-  for (auto& wanted : requirements_) {
-    std::sort(wanted.values.begin(), wanted.values.end());
-    const auto repeats = std::unique(wanted.values.begin(), wanted.values.end());
-    wanted.values.erase(repeats, wanted.values.end());
+  for (auto& condition : requirements_) {
+    std::sort(condition.values.begin(), condition.values.end());
+    const auto repeats = std::unique(condition.values.begin(), condition.values.end());
+    condition.values.erase(repeats, condition.values.end());
   }
 }
 
 bool selector::matches(const label_set& labels) const
 {
-  const auto holds = [&](const requirement& wanted) { return objects::matches(wanted, labels); };
-  return std::all_of(requirements_.begin(), requirements_.end(), holds);
+  const auto is_satisfied = [&](const requirement& condition) {
+    return objects::matches(condition, labels);
+  };
+  return std::all_of(requirements_.begin(), requirements_.end(), is_satisfied);
 }
 
 selector parse_selector(std::string_view text)
@@ -199,11 +201,11 @@
   return selector_parser(text).parse();
 }
 
-std::string to_string(const selector& chosen)
+std::string to_string(const selector& source)
 {
   std::string text;
-  for (const auto& wanted : chosen.requirements()) {
-    text += (text.empty() ? "" : ", ") + to_string(wanted);
+  for (const auto& condition : source.requirements()) {
+    text += (text.empty() ? "" : ", ") + to_string(condition);
   }
   return text;
 }
--- a/src/peer/peer_codec.cc
+++ b/src/peer/peer_codec.cc
@@ -455,7 +455,7 @@
 {
   if (const auto* snapshot = response_as<objects::configuration_snapshot>(in)) {
     out.set_revision(snapshot->revision);
-    out.set_floor(snapshot->floor);
+    out.set_floor(snapshot->complete_revision);
     for (const auto& object : snapshot->objects) {
       out.add_objects(boost::json::serialize(object));
     }
@@ -464,7 +464,7 @@
 
 objects::configuration_snapshot decode(const v1::Configuration& in)
 {
-  objects::configuration_snapshot out{.revision = in.revision(), .floor = in.floor()};
+  objects::configuration_snapshot out{.revision = in.revision(), .complete_revision = in.floor()};
   for (const auto& object : in.objects()) {
     boost::json::error_code ec;
     auto document = boost::json::parse(object, ec);
--- a/src/platform/operator_commands.cc
+++ b/src/platform/operator_commands.cc
@@ -106,8 +106,8 @@
 void sort_by_reference(std::vector<json::value>& documents)
 {
   std::stable_sort(documents.begin(), documents.end(), [](const auto& a, const auto& b) {
-    return objects::reference_rank(require_declared(a)) <
-           objects::reference_rank(require_declared(b));
+    return objects::dependency_rank(require_declared(a)) <
+           objects::dependency_rank(require_declared(b));
   });
 }
 
--- a/src/platform/operator_input.cc
+++ b/src/platform/operator_input.cc
@@ -73,7 +73,7 @@
   return normalized;
 }
 
-std::string describe(const std::vector<objects::object_fault>& faults)
+std::string describe(const std::vector<objects::field_violation>& faults)
 {
   std::string text;
   for (const auto& fault : faults) {
@@ -124,12 +124,12 @@
 
 namespace internal {
 
-std::vector<objects::object_fault> faults_of(const std::vector<json::value>& documents)
+std::vector<objects::field_violation> faults_of(const std::vector<json::value>& documents)
 {
   try {
     (void)objects::make_fleet_configuration(0, documents);
   } catch (const objects::configuration_error& e) {
-    return e.faults();
+    return e.violations();
   }
   return {};
 }
@@ -155,7 +155,7 @@
   } catch (const objects::objects_error& e) {
     throw invalid_input_error(e.what());
   }
-  if (const auto* unknown = std::get_if<objects::not_understood_object>(&decoded)) {
+  if (const auto* unknown = std::get_if<objects::unsupported_object>(&decoded)) {
     throw invalid_input_error(unknown->kind + " " + unknown->metadata.name + ": " +
                               unknown->reason);
   }
--- a/src/platform/operator_input.h
+++ b/src/platform/operator_input.h
@@ -15,7 +15,7 @@
 namespace wisteriaflow::platform::internal {
 
 // Returns the faults of `documents` as one configuration.
-[[nodiscard]] std::vector<objects::object_fault>
+[[nodiscard]] std::vector<objects::field_violation>
 faults_of(const std::vector<boost::json::value>& documents);
 
 // Throws invalid_input_error if `after` has faults that `before` does not have. Existing faults do
--- a/test/objects/audit_record_test.cc
+++ b/test/objects/audit_record_test.cc
@@ -18,12 +18,12 @@
                           .cause = "more headroom",
                           .detail = "spec"};
 
-TEST(AuditRecordTest, ReadsWhatItWrote)
+TEST(AuditRecordTest, DecodesWhatItEncoded)
 {
   EXPECT_EQ(decode_audit_record(encode_audit_record(record)), record);
 }
 
-TEST(AuditRecordTest, IsNamedForTheChange)
+TEST(AuditRecordTest, IsNamedAfterTheChangedObjectAndRevision)
 {
   EXPECT_EQ(name_of(record), "declarations.switching.9");
 }
@@ -34,7 +34,7 @@
   EXPECT_EQ(parse_rfc3339("2000-02-29T00:00:00.007Z"), from_unix_ms(951'782'400'007));
 }
 
-TEST(AuditRecordTest, RefusesTimesThatAreNone)
+TEST(AuditRecordTest, RejectsMalformedTimes)
 {
   for (const auto* text : {"", "2001-02-29T00:00:00.000Z", "2001-02-28T24:00:00.000Z",
                            "2001-02-28 00:00:00.000Z", "2001-02-28T00:00:00Z"}) {
@@ -42,17 +42,17 @@
   }
 }
 
-TEST(AuditRecordTest, TakesWhoAndWhyFromTheAnnotations)
+TEST(AuditRecordTest, TakesAuthorAndCauseFromTheAnnotations)
 {
-  auto changed = document("Pool", "switching", 9);
-  changed.at("metadata").as_object()["annotations"] = {{changed_by_annotation, "mere"},
-                                                       {cause_annotation, "more headroom"}};
-  const auto made = make_audit_record(
-      changed, {.change = audit_change::modified, .old_revision = 4, .new_revision = 9},
+  auto changed_document = document("Pool", "switching", 9);
+  changed_document.at("metadata").as_object()["annotations"] = {
+      {changed_by_annotation, "mere"}, {cause_annotation, "more headroom"}};
+  const auto created = make_audit_record(
+      changed_document, {.change = audit_change::modified, .old_revision = 4, .new_revision = 9},
       record.when);
-  EXPECT_EQ(made.who, "mere");
-  EXPECT_EQ(made.cause, "more headroom");
-  EXPECT_EQ(name_of(made), name_of(record));
+  EXPECT_EQ(created.who, "mere");
+  EXPECT_EQ(created.cause, "more headroom");
+  EXPECT_EQ(name_of(created), name_of(record));
 }
 
 } // namespace
--- a/test/objects/codec_test.cc
+++ b/test/objects/codec_test.cc
@@ -6,68 +6,69 @@
 namespace wisteriaflow::objects {
 namespace {
 
-declared_object read(const boost::json::value& whole)
+declared_object decode(const boost::json::value& source)
 {
-  return std::get<declared_object>(decode_object(whole));
+  return std::get<declared_object>(decode_object(source));
 }
 
-struct fault_case {
+struct malformed_case {
   std::string kind;
   std::string spec;
   std::string field;
   std::string value;
 };
 
-class codec_fault_test : public testing::TestWithParam<fault_case> {};
-using CodecFaultTest = codec_fault_test; // NOLINT(readability-identifier-naming)
+class codec_error_test : public testing::TestWithParam<malformed_case> {};
+using CodecErrorTest = codec_error_test; // NOLINT(readability-identifier-naming)
 
-TEST_P(CodecFaultTest, NamesObjectFieldAndValue)
+TEST_P(CodecErrorTest, ReportsObjectFieldAndValue)
 {
   const auto& expected = GetParam();
   try {
     (void)decode_object(document(expected.kind, "it", 1, expected.spec));
     FAIL() << "accepted " << expected.spec;
   } catch (const invalid_object_error& e) {
-    EXPECT_EQ(e.fault().kind, expected.kind);
-    EXPECT_EQ(e.fault().name, "it");
-    EXPECT_EQ(e.fault().field, expected.field);
-    EXPECT_EQ(e.fault().value, expected.value);
-    EXPECT_FALSE(e.fault().allowed.empty());
+    EXPECT_EQ(e.violation().kind, expected.kind);
+    EXPECT_EQ(e.violation().name, "it");
+    EXPECT_EQ(e.violation().field, expected.field);
+    EXPECT_EQ(e.violation().value, expected.value);
+    EXPECT_FALSE(e.violation().allowed.empty());
   }
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Malformed, CodecFaultTest,
+    Malformed, CodecErrorTest,
     testing::Values(
-        fault_case{"Workspace", R"({"weight":1})", "spec.weight", "1"},
-        fault_case{"Workspace", R"({"share_weight":0})", "spec.share_weight", "0"},
-        fault_case{"Workspace", R"({"share_weight":"1"})", "spec.share_weight", R"("1")"},
-        fault_case{"Workspace", R"({"max_tokens_in_flight":1.5})", "spec.max_tokens_in_flight",
-                   "1.5E0"},
-        fault_case{"Workspace", R"({"priority":{"min":9,"max":3}})", "spec.priority.max", "3"},
-        fault_case{"Workspace", R"({"priority":{"top":3}})", "spec.priority.top", "3"},
-        fault_case{"Workspace", "[]", "spec", "[]"},
-        fault_case{"Pool", R"({"role":"engine"})", "spec.model", "(absent)"},
-        fault_case{"Pool", R"({"role":"tea"})", "spec.role", R"("tea")"},
-        fault_case{"Pool", R"({"model":"m","availability_zones":[""]})", "spec.availability_zones",
-                   R"([""])"},
-        fault_case{"Pool", R"({"model":"m","instance_selector":"a in x"})",
-                   "spec.instance_selector", R"("a in x")"},
-        fault_case{"Pool", R"({"model":"m","min_instances":5,"max_instances":4})",
-                   "spec.max_instances", "4"},
-        fault_case{"ModelVersion", R"({"model":"m"})", "spec.version", "(absent)"},
-        fault_case{"ModelVersion",
-                   R"({"model":"m","version":"1","rates":{"l":{"decode_tokens_per_second":-1}}})",
-                   "spec.rates.l.decode_tokens_per_second", "-1"},
-        fault_case{"RoutingIntent", R"({"pool":"p","priority":101})", "spec.priority", "101"},
-        fault_case{"Service", R"({"timeout_ms":0})", "spec.timeout_ms", "0"}));
+        malformed_case{"Workspace", R"({"weight":1})", "spec.weight", "1"},
+        malformed_case{"Workspace", R"({"share_weight":0})", "spec.share_weight", "0"},
+        malformed_case{"Workspace", R"({"share_weight":"1"})", "spec.share_weight", R"("1")"},
+        malformed_case{"Workspace", R"({"max_tokens_in_flight":1.5})", "spec.max_tokens_in_flight",
+                       "1.5E0"},
+        malformed_case{"Workspace", R"({"priority":{"min":9,"max":3}})", "spec.priority.max", "3"},
+        malformed_case{"Workspace", R"({"priority":{"top":3}})", "spec.priority.top", "3"},
+        malformed_case{"Workspace", "[]", "spec", "[]"},
+        malformed_case{"Pool", R"({"role":"engine"})", "spec.model", "(absent)"},
+        malformed_case{"Pool", R"({"role":"tea"})", "spec.role", R"("tea")"},
+        malformed_case{"Pool", R"({"model":"m","availability_zones":[""]})",
+                       "spec.availability_zones", R"([""])"},
+        malformed_case{"Pool", R"({"model":"m","instance_selector":"a in x"})",
+                       "spec.instance_selector", R"("a in x")"},
+        malformed_case{"Pool", R"({"model":"m","min_instances":5,"max_instances":4})",
+                       "spec.max_instances", "4"},
+        malformed_case{"ModelVersion", R"({"model":"m"})", "spec.version", "(absent)"},
+        malformed_case{
+            "ModelVersion",
+            R"({"model":"m","version":"1","rates":{"l":{"decode_tokens_per_second":-1}}})",
+            "spec.rates.l.decode_tokens_per_second", "-1"},
+        malformed_case{"RoutingIntent", R"({"pool":"p","priority":101})", "spec.priority", "101"},
+        malformed_case{"Service", R"({"timeout_ms":0})", "spec.timeout_ms", "0"}));
 
 class codec_round_trip_test : public testing::TestWithParam<declared_object> {};
 using CodecRoundTripTest = codec_round_trip_test; // NOLINT(readability-identifier-naming)
 
-TEST_P(CodecRoundTripTest, ReadsWhatItWrote)
+TEST_P(CodecRoundTripTest, DecodesWhatItEncoded)
 {
-  EXPECT_EQ(read(encode_object(GetParam())), GetParam());
+  EXPECT_EQ(decode(encode_object(GetParam())), GetParam());
 }
 
 const object_metadata metadata{
@@ -111,19 +112,19 @@
                     service{
                         .metadata = metadata, .idempotent_methods = {"GET"}, .timeout_ms = 500}));
 
-TEST(CodecTest, KeepsAnUnknownKindAside)
+TEST(CodecTest, DecodesAnUnknownKindAsUnsupported)
 {
   const auto decoded = decode_object(document("Teapot", "it", 4, R"({"anything":1})"));
-  EXPECT_EQ(std::get<not_understood_object>(decoded).reason, "unknown kind Teapot");
+  EXPECT_EQ(std::get<unsupported_object>(decoded).reason, "unknown kind Teapot");
 }
 
-TEST(CodecTest, KeepsANewerSchemaAside)
+TEST(CodecTest, DecodesANewerSchemaAsUnsupported)
 {
   const auto decoded = decode_object(document("Pool", "it", 4, R"({"schema":2,"new_field":1})"));
-  EXPECT_EQ(std::get<not_understood_object>(decoded).reason, "unknown schema 2");
+  EXPECT_EQ(std::get<unsupported_object>(decoded).reason, "unknown schema 2");
 }
 
-TEST(CodecTest, RefusesADocumentWithoutAName)
+TEST(CodecTest, RejectsADocumentWithoutAValidName)
 {
   EXPECT_THROW(decode_object({{"kind", "Pool"}}), invalid_object_error);
   EXPECT_THROW(decode_object(document("Pool", "Upper", 1)), invalid_object_error);
--- a/test/objects/documents.h
+++ b/test/objects/documents.h
@@ -1,4 +1,4 @@
-// Short ways to write the documents that the tests of this package need.
+// Builds the JSON documents that the tests of this package use.
 
 #ifndef WISTERIAFLOW_TEST_OBJECTS_DOCUMENTS_H_
 #define WISTERIAFLOW_TEST_OBJECTS_DOCUMENTS_H_
@@ -12,6 +12,7 @@
 
 namespace wisteriaflow::objects {
 
+// A document of the object API. `spec` and `labels` are JSON texts.
 inline boost::json::value document(std::string_view kind, std::string_view name,
                                    std::uint64_t revision, std::string_view spec = "{}",
                                    std::string_view labels = "{}")
--- a/test/objects/fleet_configuration_test.cc
+++ b/test/objects/fleet_configuration_test.cc
@@ -45,7 +45,7 @@
   EXPECT_NE(configuration_.find_pool("big"), nullptr);
   EXPECT_NE(configuration_.find_service("desk"), nullptr);
   EXPECT_EQ(configuration_.find_pool("desk"), nullptr);
-  EXPECT_TRUE(configuration_.knows_model(model_id("m")));
+  EXPECT_TRUE(configuration_.has_model(model_id("m")));
 }
 
 TEST_F(FleetConfigurationTest, OrdersIntentsByPriorityThenName)
@@ -55,7 +55,7 @@
   EXPECT_EQ(names_of(matching), (std::vector<std::string>{"also-drafts", "drafts", "any"}));
 }
 
-TEST_F(FleetConfigurationTest, LeavesOutIntentsThatDoNotSelectTheRequest)
+TEST_F(FleetConfigurationTest, OmitsIntentsThatDoNotSelectTheRequest)
 {
   const auto of_bank = configuration_.matching_intents({.workspace = workspace_id("bank")});
   EXPECT_EQ(names_of(of_bank), (std::vector<std::string>{"drafts", "any"}));
@@ -63,28 +63,28 @@
   EXPECT_EQ(names_of(of_hotel), (std::vector<std::string>{"any"}));
 }
 
-TEST_F(FleetConfigurationTest, LeavesOutIntentsOfAnotherModel)
+TEST_F(FleetConfigurationTest, OmitsIntentsOfAnotherModel)
 {
   EXPECT_TRUE(
       configuration_.matching_intents({.workspace = workspace_id("bank"), .model = model_id("n")})
           .empty());
 }
 
-TEST_F(FleetConfigurationTest, TakesInstancesByZoneLabelsAndRole)
+TEST_F(FleetConfigurationTest, MatchesInstancesByZoneLabelsAndRole)
 {
   const auto& intent = configuration_.intents().front();
-  const instance_description fit{.labels = {{"gpu", ""}}, .zone = availability_zone("a")};
-  auto elsewhere = fit;
-  elsewhere.zone = availability_zone("b");
-  auto plain = fit;
-  plain.role = pool_role::service;
-  EXPECT_TRUE(configuration_.is_eligible(intent, fit));
-  EXPECT_FALSE(configuration_.is_eligible(intent, elsewhere));
-  EXPECT_FALSE(configuration_.is_eligible(intent, plain));
+  const instance_description matching{.labels = {{"gpu", ""}}, .zone = availability_zone("a")};
+  auto other_zone = matching;
+  other_zone.zone = availability_zone("b");
+  auto other_role = matching;
+  other_role.role = pool_role::service;
+  EXPECT_TRUE(configuration_.is_eligible(intent, matching));
+  EXPECT_FALSE(configuration_.is_eligible(intent, other_zone));
+  EXPECT_FALSE(configuration_.is_eligible(intent, other_role));
   EXPECT_FALSE(configuration_.is_eligible(intent, {.zone = availability_zone("a")}));
 }
 
-TEST(FleetConfigurationFaultTest, ReportsEveryFaultOfTheWhole)
+TEST(FleetConfigurationErrorTest, ReportsAllViolationsAtOnce)
 {
   try {
     (void)make_fleet_configuration(1, {document("RoutingIntent", "i", 1, R"({"pool":"none"})"),
@@ -93,22 +93,22 @@
                                        document("Service", "s", 1, R"({"timeout_ms":0})")});
     FAIL() << "accepted";
   } catch (const configuration_error& e) {
-    EXPECT_EQ(e.faults().size(), 4U) << e.what();
+    EXPECT_EQ(e.violations().size(), 4U) << e.what();
   }
 }
 
-TEST(FleetConfigurationFaultTest, RefusesAnIntentForAModelThatItsPoolDoesNotServe)
+TEST(FleetConfigurationErrorTest, RejectsAnIntentForAModelThatItsPoolDoesNotServe)
 {
   auto documents = small_fleet();
   documents.push_back(document("RoutingIntent", "odd", 9, R"({"pool":"big","model":"n"})"));
   EXPECT_THROW((void)make_fleet_configuration(9, documents), configuration_error);
 }
 
-TEST(FleetConfigurationFaultTest, ObjectsNotUnderstoodAreNoFault)
+TEST(FleetConfigurationErrorTest, AcceptsUnsupportedObjects)
 {
   auto documents = small_fleet();
   documents.push_back(document("Teapot", "t", 9));
-  EXPECT_EQ(make_fleet_configuration(9, documents).not_understood().size(), 1U);
+  EXPECT_EQ(make_fleet_configuration(9, documents).unsupported().size(), 1U);
 }
 
 } // namespace
--- a/test/objects/selector_test.cc
+++ b/test/objects/selector_test.cc
@@ -6,7 +6,7 @@
 namespace wisteriaflow::objects {
 namespace {
 
-const label_set guest{{"tier", "gold"}, {"zone", "a"}, {"door", ""}};
+const label_set labels{{"tier", "gold"}, {"zone", "a"}, {"door", ""}};
 
 struct match_case {
   std::string text;
@@ -16,10 +16,10 @@
 class selector_match_test : public testing::TestWithParam<match_case> {};
 using SelectorMatchTest = selector_match_test; // NOLINT(readability-identifier-naming)
 
-TEST_P(SelectorMatchTest, DecidesAsKubernetesDoes)
+TEST_P(SelectorMatchTest, MatchesLikeKubernetes)
 {
   const auto& [text, expected] = GetParam();
-  EXPECT_EQ(parse_selector(text).matches(guest), expected) << text << " on " << to_string(guest);
+  EXPECT_EQ(parse_selector(text).matches(labels), expected) << text << " on " << to_string(labels);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -35,15 +35,15 @@
                     match_case{"tier=gold, zone in (a,b), !absent", true},
                     match_case{"tier=gold, zone=b", false}));
 
-struct fault_case {
+struct malformed_case {
   std::string text;
   std::size_t position;
 };
 
-class selector_fault_test : public testing::TestWithParam<fault_case> {};
-using SelectorFaultTest = selector_fault_test; // NOLINT(readability-identifier-naming)
+class selector_error_test : public testing::TestWithParam<malformed_case> {};
+using SelectorErrorTest = selector_error_test; // NOLINT(readability-identifier-naming)
 
-TEST_P(SelectorFaultTest, NamesTextAndPosition)
+TEST_P(SelectorErrorTest, ReportsTextAndPosition)
 {
   const auto& [text, position] = GetParam();
   try {
@@ -55,26 +55,26 @@
   }
 }
 
-INSTANTIATE_TEST_SUITE_P(Malformed, SelectorFaultTest,
-                         testing::Values(fault_case{"a=b,", 4}, fault_case{"=b", 0},
-                                         fault_case{"a in x", 5}, fault_case{"a in (x", 7},
-                                         fault_case{"a like (x)", 2}, fault_case{"a=b c", 4},
-                                         fault_case{"a=-b", 2}, fault_case{"!", 1},
-                                         fault_case{",a", 0}));
+INSTANTIATE_TEST_SUITE_P(Malformed, SelectorErrorTest,
+                         testing::Values(malformed_case{"a=b,", 4}, malformed_case{"=b", 0},
+                                         malformed_case{"a in x", 5}, malformed_case{"a in (x", 7},
+                                         malformed_case{"a like (x)", 2},
+                                         malformed_case{"a=b c", 4}, malformed_case{"a=-b", 2},
+                                         malformed_case{"!", 1}, malformed_case{",a", 0}));
 
-TEST(SelectorTest, CanonicalTextGivesTheSameSelector)
+TEST(SelectorTest, CanonicalTextParsesToTheSameSelector)
 {
-  const auto chosen = parse_selector("a==b,c!=d,e in (y,x,x),f notin (z,w),g,!h,k in (,v)");
-  EXPECT_EQ(to_string(chosen), "a=b, c!=d, e in (x,y), f notin (w,z), g, !h, k in (,v)");
-  EXPECT_EQ(parse_selector(to_string(chosen)), chosen);
+  const auto parsed = parse_selector("a==b,c!=d,e in (y,x,x),f notin (z,w),g,!h,k in (,v)");
+  EXPECT_EQ(to_string(parsed), "a=b, c!=d, e in (x,y), f notin (w,z), g, !h, k in (,v)");
+  EXPECT_EQ(parse_selector(to_string(parsed)), parsed);
 }
 
-TEST(LabelSetTest, RefusesAKeyThatStandsTwice)
+TEST(LabelSetTest, RejectsADuplicateKey)
 {
   EXPECT_THROW(parse_label_set("a=1,a=2"), label_error);
 }
 
-TEST(LabelSetTest, RefusesMalformedKeysAndValues)
+TEST(LabelSetTest, RejectsMalformedKeysAndValues)
 {
   EXPECT_THROW(parse_label_set("-a=1"), label_error);
   EXPECT_THROW(parse_label_set("a=b c"), label_error);
@@ -82,12 +82,12 @@
   EXPECT_THROW(parse_label_set(std::string(64, 'k') + "=v"), label_error);
 }
 
-TEST(LabelSetTest, EqualityIgnoresTheOrderOfWriting)
+TEST(LabelSetTest, EqualityIgnoresTheOrderOfEntries)
 {
   EXPECT_EQ(parse_label_set(" b=2 , a=1 "), (label_set{{"a", "1"}, {"b", "2"}}));
 }
 
-TEST(LabelSetTest, ChangesGiveANewSet)
+TEST(LabelSetTest, WithAndWithoutReturnNewSets)
 {
   const label_set before{{"a", "1"}};
   EXPECT_EQ(before.with("a", "2").with("b", "3"), (label_set{{"a", "2"}, {"b", "3"}}));
