--- a/test/fakes/engine_parts.cc
+++ b/test/fakes/engine_parts.cc
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr int hex_digits = 16;
-constexpr std::size_t syllables = 3; // of a word
+constexpr std::size_t syllables = 3; // per word
 constexpr std::string_view consonants = "bdfgklmnprstvz";
 constexpr std::string_view vowels = "aeiou";
 
@@ -71,7 +71,7 @@
   return hash64_of(prompt, hash64_of(model));
 }
 
-std::string hash_name(std::uint64_t hash)
+std::string hash_hex(std::uint64_t hash)
 {
   std::ostringstream out;
   out << std::hex << std::setw(hex_digits) << std::setfill('0') << hash;
@@ -81,33 +81,33 @@
 std::size_t prefix_cache::match(const std::vector<std::uint64_t>& blocks) const
 {
   std::size_t n = 0;
-  while (n < blocks.size() && places_.contains(blocks[n])) {
+  while (n < blocks.size() && positions_.contains(blocks[n])) {
     ++n;
   }
   return n;
 }
 
-void prefix_cache::store(const std::vector<std::uint64_t>& blocks, wall_time now)
+void prefix_cache::insert(const std::vector<std::uint64_t>& blocks, wall_time now)
 {
-  // From the last to the first: a prefix stays longer than what follows it.
+  // Last block first, so that a prefix is evicted after the blocks that extend it.
   for (auto it = blocks.rbegin(); it != blocks.rend(); ++it) {
-    const auto known = places_.find(*it);
-    if (known != places_.end()) {
-      by_use_.erase(known->second);
+    const auto known = positions_.find(*it);
+    if (known != positions_.end()) {
+      lru_.erase(known->second);
     } else {
-      note(*it, true, now);
+      record_event(*it, true, now);
     }
-    by_use_.push_front(*it);
-    places_[*it] = by_use_.begin();
+    lru_.push_front(*it);
+    positions_[*it] = lru_.begin();
   }
-  while (places_.size() > capacity_) {
-    note(by_use_.back(), false, now);
-    places_.erase(by_use_.back());
-    by_use_.pop_back();
+  while (positions_.size() > capacity_) {
+    record_event(lru_.back(), false, now);
+    positions_.erase(lru_.back());
+    lru_.pop_back();
   }
 }
 
-void prefix_cache::note(std::uint64_t hash, bool stored, wall_time now)
+void prefix_cache::record_event(std::uint64_t hash, bool stored, wall_time now)
 {
   const auto sequence = static_cast<std::int64_t>(events_.size()) + 1;
   events_.push_back({.sequence = sequence, .prefix_hash = hash, .stored = stored, .at = now});
--- a/test/fakes/engine_parts.h
+++ b/test/fakes/engine_parts.h
@@ -1,4 +1,9 @@
-// What a fake model engine computes with: tokens, prefix hashes and a prefix cache of bounded size.
+// Building blocks of fake_model_engine: deterministic tokens, prefix hashes and an LRU prefix cache
+// of bounded size. One word of a text counts as one token.
+//
+//   tokens_text("m", prompt, 0, 5);              // the first five tokens of the answer
+//   prefix_cache cache(1024);
+//   cache.insert(block_hashes("m", prompt), wall_now());
 
 #ifndef WISTERIAFLOW_TEST_FAKES_ENGINE_PARTS_H_
 #define WISTERIAFLOW_TEST_FAKES_ENGINE_PARTS_H_
@@ -15,60 +20,64 @@
 
 namespace wisteriaflow::fakes {
 
-// Words in one block of the prefix cache.
+// Tokens (words) in one block of the prefix cache.
 constexpr std::size_t block_words = 16;
 
-// Token number `index` of the answer of `model` to `prompt`: a word and a blank.
+// Returns token `index`, counted from 0, of the answer of `model` to `prompt`: a word followed by a
+// space. The same arguments always give the same token.
 [[nodiscard]] std::string token_text(std::string_view model, std::string_view prompt,
                                      std::size_t index);
 
-// Tokens `first` up to `last` (not included), joined.
+// Returns the concatenated tokens in the half-open range [`first`, `last`).
 [[nodiscard]] std::string tokens_text(std::string_view model, std::string_view prompt,
                                       std::size_t first, std::size_t last);
 
-// The number of words of `text`: the fake's prompt tokens.
+// Returns the number of words in `text`, which the fake reports as the number of tokens.
 [[nodiscard]] std::size_t count_words(std::string_view text);
 
-// A hash for each whole block of `prompt`, of the model and all words up to the block's end:
-// hash64_of(word, seed) chained over the words, the first seed being hash64_of(model).
+// Returns one hash per complete block of `prompt`. Each hash covers the model and all words up to
+// the end of the block: hash64_of(word, seed) chained over the words, with hash64_of(model) as the
+// first seed.
 [[nodiscard]] std::vector<std::uint64_t> block_hashes(std::string_view model,
                                                       std::string_view prompt);
 
-// Names what `model` answers to `prompt`.
+// Returns a hash that identifies the answer of `model` to `prompt`.
 [[nodiscard]] std::uint64_t answer_hash(std::string_view model, std::string_view prompt);
 
-// The name of a prefix hash in cache events: 16 hexadecimal digits.
-[[nodiscard]] std::string hash_name(std::uint64_t hash);
+// Formats a prefix hash as in cache events: 16 hexadecimal digits.
+[[nodiscard]] std::string hash_hex(std::uint64_t hash);
 
-// An entry of the list of cache events.
+// One change of the prefix cache. Sequence numbers start at 1 and have no gaps.
 struct cache_event {
   std::int64_t sequence = 0;
   std::uint64_t prefix_hash = 0;
-  bool stored = true; // else evicted
+  bool stored = true; // false: evicted
   wall_time at;
 };
 
-// Blocks by least recent use.
+// A cache of prefix blocks that evicts the least recently used block.
 class prefix_cache {
  public:
+  // `capacity` is the number of blocks.
   explicit prefix_cache(std::size_t capacity) : capacity_(capacity) {}
 
-  // How many leading blocks of `blocks` are cached.
+  // Returns how many of `blocks` are cached, counted from the first up to the first one missing.
   [[nodiscard]] std::size_t match(const std::vector<std::uint64_t>& blocks) const;
 
-  // Caches `blocks`, evicting those unused for longest.
-  void store(const std::vector<std::uint64_t>& blocks, wall_time now);
+  // Adds `blocks` or marks them as used, then evicts the least recently used ones over the
+  // capacity.
+  void insert(const std::vector<std::uint64_t>& blocks, wall_time now);
 
-  [[nodiscard]] std::size_t size() const { return places_.size(); }
+  [[nodiscard]] std::size_t size() const { return positions_.size(); }
   [[nodiscard]] std::size_t capacity() const { return capacity_; }
   [[nodiscard]] const std::vector<cache_event>& events() const { return events_; }
 
  private:
-  void note(std::uint64_t hash, bool stored, wall_time now);
+  void record_event(std::uint64_t hash, bool stored, wall_time now);
 
   std::size_t capacity_;
-  std::list<std::uint64_t> by_use_; // the latest used first
-  std::map<std::uint64_t, std::list<std::uint64_t>::iterator> places_;
+  std::list<std::uint64_t> lru_; // most recently used first
+  std::map<std::uint64_t, std::list<std::uint64_t>::iterator> positions_;
   std::vector<cache_event> events_;
 };
 
--- a/test/fakes/fake_cloud_api.cc
+++ b/test/fakes/fake_cloud_api.cc
@@ -14,7 +14,7 @@
 
 constexpr std::array<std::string_view, 3> price_key = {"availability_zone", "class", "reclaimable"};
 
-// The fields of an instance that a registration may leave out.
+// Defaults of the fields that POST /_fake/instances may omit.
 json::object instance_defaults()
 {
   return {{"address", ""},        {"availability_zone", ""}, {"class", ""},
@@ -51,13 +51,13 @@
       set_price(each);
     }
   } else if (name == "refuse") {
-    const std::pair key(text_of(body, "availability_zone"), text_of(body, "class"));
-    refusing_.erase(key);
+    const std::pair key(string_field(body, "availability_zone"), string_field(body, "class"));
+    without_capacity_.erase(key);
     if (body.at("refuse").as_bool()) {
-      refusing_.insert(key);
+      without_capacity_.insert(key);
     }
   } else if (name == "notice") {
-    give_notice(body);
+    issue_reclaim_notice(body);
   } else if (name == "settings") {
     read_field(body, "list_lag_ms", list_lag_);
     read_field(body, "lose_answers", lose_answers_);
@@ -74,7 +74,7 @@
 asio::awaitable<void> fake_cloud_api::serve(fake_request received, http::response_writer& w)
 {
   const bool controlling = received.path.starts_with("/_fake/");
-  auto reply = operate(received);
+  auto reply = dispatch(received);
   if (!controlling && received.method != "GET" && lose_answers_ > 0) {
     --lose_answers_;
     w.abort();
@@ -83,7 +83,7 @@
   co_await send(w, std::move(reply));
 }
 
-fake_reply fake_cloud_api::operate(const fake_request& received)
+fake_reply fake_cloud_api::dispatch(const fake_request& received)
 {
   const auto& parts = received.segments;
   if (received.is("GET", "/_fake/stats")) {
@@ -114,12 +114,12 @@
 
 fake_reply fake_cloud_api::launch(const json::value& wanted)
 {
-  const auto token = text_of(wanted, "token");
+  const auto token = string_field(wanted, "token");
   const auto known = ids_by_token_.find(token);
   if (known != ids_by_token_.end()) {
     return {.status = 201, .body = {{"id", known->second}}};
   }
-  if (refuses(wanted)) {
+  if (lacks_capacity(wanted)) {
     ++refused_;
     return {.status = 503, .body = {{"reason", "InsufficientCapacity"}}};
   }
@@ -147,7 +147,7 @@
 {
   if (instances_.erase(id) > 0) {
     released_.push_back(id);
-    record();
+    record_history();
   }
   return {};
 }
@@ -174,42 +174,42 @@
                    {"calls", calls_}}};
 }
 
-// The list as it was at `time`. An instance leaves it when its reclaim is due, and is not in it
-// before it has an address.
+// Returns the list at `time`. An instance is absent from the time of its reclaim on, and while it
+// has no address.
 json::array fake_cloud_api::list_at(wall_time time) const
 {
   json::array out;
   for (const auto& [id, instance] : history_.at(time)) {
     const auto reclaim = reclaim_times_.find(id);
     const bool reclaimed = reclaim != reclaim_times_.end() && reclaim->second <= time;
-    if (!reclaimed && !text_of(instance, "address").empty()) {
+    if (!reclaimed && !string_field(instance, "address").empty()) {
       out.push_back(instance);
     }
   }
   return out;
 }
 
-bool fake_cloud_api::refuses(const json::value& wanted) const
+bool fake_cloud_api::lacks_capacity(const json::value& wanted) const
 {
-  const auto zone = text_of(wanted, "availability_zone");
-  const auto kind = text_of(wanted, "class");
-  return refusing_.contains({zone, kind}) || refusing_.contains({zone, ""}) ||
-         refusing_.contains({"", kind}) || refusing_.contains({"", ""});
+  const auto zone = string_field(wanted, "availability_zone");
+  const auto kind = string_field(wanted, "class");
+  return without_capacity_.contains({zone, kind}) || without_capacity_.contains({zone, ""}) ||
+         without_capacity_.contains({"", kind}) || without_capacity_.contains({"", ""});
 }
 
 void fake_cloud_api::add_instance(const json::value& instance)
 {
-  const auto id = text_of(instance, "id");
-  auto whole = instance_defaults();
+  const auto id = string_field(instance, "id");
+  auto merged = instance_defaults();
   const auto known = instances_.find(id);
   if (known != instances_.end()) {
-    whole = known->second.as_object();
+    merged = known->second.as_object();
   }
   for (const auto& field : instance.as_object()) {
-    whole[field.key()] = field.value();
+    merged[field.key()] = field.value();
   }
-  instances_[id] = std::move(whole);
-  record();
+  instances_[id] = std::move(merged);
+  record_history();
 }
 
 void fake_cloud_api::set_price(const json::value& price)
@@ -224,22 +224,23 @@
   }
 }
 
-void fake_cloud_api::give_notice(const json::value& body)
+void fake_cloud_api::issue_reclaim_notice(const json::value& body)
 {
-  const auto reclaim_at = wall_now() + std::chrono::milliseconds(number_of(body, "reclaim_in_ms"));
-  const auto zone = text_of(body, "availability_zone");
+  const auto reclaim_at =
+      wall_now() + std::chrono::milliseconds(integer_field(body, "reclaim_in_ms"));
+  const auto zone = string_field(body, "availability_zone");
   if (zone.empty()) {
-    give_notice(text_of(body, "instance_id"), reclaim_at);
+    issue_reclaim_notice(string_field(body, "instance_id"), reclaim_at);
     return;
   }
   for (const auto& [id, instance] : instances_) {
-    if (text_of(instance, "availability_zone") == zone && !reclaim_times_.contains(id)) {
-      give_notice(id, reclaim_at);
+    if (string_field(instance, "availability_zone") == zone && !reclaim_times_.contains(id)) {
+      issue_reclaim_notice(id, reclaim_at);
     }
   }
 }
 
-void fake_cloud_api::give_notice(const std::string& id, wall_time reclaim_at)
+void fake_cloud_api::issue_reclaim_notice(const std::string& id, wall_time reclaim_at)
 {
   const auto sequence = static_cast<std::int64_t>(notices_.size()) + 1;
   notices_.push_back({.sequence = sequence, .instance_id = id, .reclaim_at = reclaim_at});
@@ -247,11 +248,11 @@
   const auto known = instances_.find(id);
   if (known != instances_.end()) {
     known->second.as_object()["state"] = "leaving";
-    record();
+    record_history();
   }
 }
 
-void fake_cloud_api::record()
+void fake_cloud_api::record_history()
 {
   history_.set(wall_now(), instances_);
 }
--- a/test/fakes/fake_cloud_api_main.cc
+++ b/test/fakes/fake_cloud_api_main.cc
@@ -1,4 +1,4 @@
-// Runs a fake_cloud_api, which serves the instance list too, as a program.
+// A program that runs a fake_cloud_api, which also serves the instance list.
 
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
--- a/test/fakes/fake_endpoint.cc
+++ b/test/fakes/fake_endpoint.cc
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr int last_event = 6;
-constexpr int cut_after = 3;
+constexpr int last_event_before_disconnect = 3;
 
 std::string event(int id)
 {
@@ -22,30 +22,30 @@
 
 } // namespace
 
-http::response fake_endpoint::with_statements(http::response answer) const
+http::response fake_endpoint::with_extra_headers(http::response answer) const
 {
-  answer.fields.insert(answer.fields.end(), statements.begin(), statements.end());
+  answer.fields.insert(answer.fields.end(), extra_headers.begin(), extra_headers.end());
   return answer;
 }
 
-http::response fake_endpoint::whole_answer(const fake_request& r) const
+http::response fake_endpoint::build_response(const fake_request& r) const
 {
   const auto id = std::string(http::find_header(r.fields, "Request-Id"));
   http::response out{.fields = {{"Request-Id", id}, {"Keep-Alive", "timeout=5"}}};
-  switch (mood) {
-  case endpoint_mood::sheds:
+  switch (behaviour) {
+  case endpoint_behaviour::refuses_not_executed:
     return {.status = 503, .fields = {{"Not-Executed", "1"}}};
-  case endpoint_mood::is_another:
+  case endpoint_behaviour::answers_misdirected:
     return {.status = 421};
-  case endpoint_mood::refuses_unpromised:
+  case endpoint_behaviour::refuses_without_marker:
     out.status = 503;
     break;
-  case endpoint_mood::fails:
+  case endpoint_behaviour::fails:
     out.status = 500;
     break;
-  case endpoint_mood::answers_unsigned:
+  case endpoint_behaviour::answers_unsigned:
     return out;
-  case endpoint_mood::answers_for_another:
+  case endpoint_behaviour::answers_wrong_request_id:
     out.fields.at(0).value = "another";
     break;
   default:
@@ -59,26 +59,26 @@
 {
   received.push_back(r);
   on_request();
-  std::this_thread::sleep_for(stall);
-  if (!deadly_path.empty() && r.path.starts_with(deadly_path)) {
+  std::this_thread::sleep_for(blocking_delay);
+  if (!crash_path.empty() && r.path.starts_with(crash_path)) {
     close();
     co_return;
   }
-  switch (mood) {
-  case endpoint_mood::cuts:
+  switch (behaviour) {
+  case endpoint_behaviour::disconnects:
     w.abort();
     co_return;
-  case endpoint_mood::says_nothing:
-    co_await pause(std::chrono::seconds(30));
+  case endpoint_behaviour::never_responds:
+    co_await async_sleep(std::chrono::seconds(30));
     co_return;
-  case endpoint_mood::streams:
-  case endpoint_mood::streams_and_cuts:
+  case endpoint_behaviour::streams:
+  case endpoint_behaviour::streams_then_disconnects:
     co_await stream(r, w);
     co_return;
   default:
     break;
   }
-  auto out = with_statements(whole_answer(r));
+  auto out = with_extra_headers(build_response(r));
   co_await w.send(std::move(out));
 }
 
@@ -88,15 +88,15 @@
       .fields = {{"Request-Id", std::string(http::find_header(r.fields, "Request-Id"))},
                  {"Response-Seal", "signature-" + id_},
                  {"Content-Type", "text/event-stream"}}};
-  head = with_statements(std::move(head));
+  head = with_extra_headers(std::move(head));
   co_await w.start_stream(std::move(head));
-  const bool cuts = mood == endpoint_mood::streams_and_cuts;
-  const int last = cuts ? cut_after : last_event;
+  const bool disconnects = behaviour == endpoint_behaviour::streams_then_disconnects;
+  const int last = disconnects ? last_event_before_disconnect : last_event;
   for (int i = resumed_after(r) + 1; i <= last; ++i) {
     const auto text = event(i);
     co_await w.write_chunk(text);
   }
-  if (cuts) {
+  if (disconnects) {
     co_await w.write_chunk("id: 4\nda");
     w.abort();
     co_return;
--- a/test/fakes/fake_endpoint.h
+++ b/test/fakes/fake_endpoint.h
@@ -1,5 +1,8 @@
-// An endpoint of the platform: answers with the request's id and a signature, or misbehaves as
-// told.
+// A fake endpoint of the platform. It answers with the request's id and a signature, or fails in
+// the way that a test selects.
+//
+//   fake_endpoint endpoint(context, "i-1");
+//   endpoint.behaviour = endpoint_behaviour::disconnects;
 
 #ifndef WISTERIAFLOW_TEST_FAKES_FAKE_ENDPOINT_H_
 #define WISTERIAFLOW_TEST_FAKES_FAKE_ENDPOINT_H_
@@ -15,19 +18,19 @@
 
 namespace wisteriaflow::fakes {
 
-// What the endpoint does with a request.
-enum class endpoint_mood {
+// What the endpoint does with each request.
+enum class endpoint_behaviour {
   answers,
-  streams,            // six events, ids 1 to 6
-  streams_and_cuts,   // three whole events and a part of the fourth
-  sheds,              // refuses as not run
-  is_another,         // as an endpoint does that is not the one expected
-  refuses_unpromised, // 503 without saying that it did not run the request
-  cuts,               // runs the request, then closes the connection
-  fails,              // its own 500
-  answers_unsigned,
-  answers_for_another,
-  says_nothing, // holds the request
+  streams,                  // an event stream of six events, ids 1 to 6
+  streams_then_disconnects, // three complete events and a part of the fourth, then disconnects
+  refuses_not_executed,     // 503 that states that the request was not executed
+  answers_misdirected,      // 421, as from an endpoint other than the one the gateway expects
+  refuses_without_marker,   // 503 that does not state that the request was not executed
+  disconnects,              // runs the request, then closes the connection without an answer
+  fails,                    // a signed 500, made by the endpoint itself
+  answers_unsigned,         // without the signature header
+  answers_wrong_request_id, // with the id of another request
+  never_responds,           // holds the request for 30 s without an answer
 };
 
 class fake_endpoint final : public fake_server {
@@ -37,26 +40,27 @@
   {
   }
 
-  endpoint_mood mood = endpoint_mood::answers;
-  // What it says of itself: fields that each of its answers carries besides.
-  http::headers statements;
-  // Holds up the whole thread for this long before an answer, as a stopped process does.
-  std::chrono::milliseconds stall{0};
-  // A request below this path ends the process as soon as it begins to run; empty: none does.
-  std::string deadly_path;
+  endpoint_behaviour behaviour = endpoint_behaviour::answers;
+  // Header fields added to each answer: what the endpoint states about itself.
+  http::headers extra_headers;
+  // Blocks the whole thread for this long before each answer, as a stopped process does.
+  std::chrono::milliseconds blocking_delay{0};
+  // A request whose path starts with this closes the endpoint when it begins to run, as a request
+  // does that crashes the process; empty: no request does.
+  std::string crash_path;
   std::vector<fake_request> received;
-  // Called with each request, before the mood is looked at.
+  // Called for each request before `behaviour` is read.
   std::function<void()> on_request = [] {};
 
   [[nodiscard]] const std::string& id() const { return id_; }
-  // Whether the process has ended, by a request or by close().
-  [[nodiscard]] bool has_ended() const { return dead_; }
+  // Returns whether the simulated process has ended, by a crash request or by close().
+  [[nodiscard]] bool has_ended() const { return closed_; }
 
  private:
   boost::asio::awaitable<void> serve(fake_request r, http::response_writer& w) override;
   boost::asio::awaitable<void> stream(const fake_request& r, http::response_writer& w);
-  [[nodiscard]] http::response whole_answer(const fake_request& r) const;
-  [[nodiscard]] http::response with_statements(http::response answer) const;
+  [[nodiscard]] http::response build_response(const fake_request& r) const;
+  [[nodiscard]] http::response with_extra_headers(http::response answer) const;
 
   std::string id_;
 };
--- a/test/fakes/fake_model_engine_control.cc
+++ b/test/fakes/fake_model_engine_control.cc
@@ -1,4 +1,5 @@
-// The fake model engine's side besides completions: settings, load, cache events, KV and orders.
+// The requests of the fake model engine other than completions: settings, load, cache events, KV
+// state and orders.
 
 #include <algorithm>
 #include <utility>
@@ -47,7 +48,7 @@
           {"orders", orders_}};
 }
 
-fake_reply fake_model_engine::operate(const fake_request& received)
+fake_reply fake_model_engine::dispatch(const fake_request& received)
 {
   const auto& parts = received.segments;
   if (received.is("GET", "/load")) {
@@ -57,10 +58,10 @@
     return cache_events_after(http::find_header(received.query, "after", "0"));
   }
   if (received.is("POST", "/kv/export")) {
-    return export_kv(text_of(received.body, "request_id"));
+    return export_kv(string_field(received.body, "request_id"));
   }
   if (received.is("GET", "/_fake/kv")) {
-    return kv_of(std::string(http::find_header(received.query, "handle")));
+    return kv_state(std::string(http::find_header(received.query, "handle")));
   }
   if (received.is("GET", "/_fake/stats")) {
     return {.body = stats()};
@@ -70,30 +71,30 @@
     return {};
   }
   if (received.is("POST", "/_fake/fail")) {
-    return fail(received.body);
+    return inject_failure(received.body);
   }
   if (received.method == "DELETE" && parts.size() == 3 && parts[1] == "requests") {
     return cancel(parts[2]);
   }
-  return refusal(404, "NotFound");
+  return error_reply(404, "NotFound");
 }
 
 fake_reply fake_model_engine::export_kv(const std::string& request_id) const
 {
   const auto known = by_request_id_.find(request_id);
   if (known == by_request_id_.end()) {
-    return refusal(404, "NotFound");
+    return error_reply(404, "NotFound");
   }
   const auto tokens = known->second->prompt_tokens + known->second->next;
   return {.body = {{"handle", std::string(handle_prefix) + request_id}, {"tokens", tokens}}};
 }
 
-fake_reply fake_model_engine::kv_of(const std::string& handle) const
+fake_reply fake_model_engine::kv_state(const std::string& handle) const
 {
   const auto known =
       by_request_id_.find(handle.substr(std::min(handle_prefix.size(), handle.size())));
   if (known == by_request_id_.end()) {
-    return refusal(404, "NotFound");
+    return error_reply(404, "NotFound");
   }
   const auto& r = *known->second;
   return {.body = {{"model", r.model}, {"prompt", r.prompt}, {"made", r.next}}};
@@ -104,45 +105,46 @@
   http::response fetched;
   fetched.status = 0;
   try {
-    const auto from = http::parse_socket_address(text_of(received.body, "from"));
+    const auto from = http::parse_socket_address(string_field(received.body, "from"));
     http::request wanted;
-    wanted.target = "/_fake/kv?handle=" + text_of(received.body, "handle");
+    wanted.target = "/_fake/kv?handle=" + string_field(received.body, "handle");
     const auto deadline = std::chrono::steady_clock::now() + import_timeout;
     fetched = co_await client_.call(from, wanted, deadline);
   } catch (const http::http_error&) {
-    fetched.status = 0; // the source is gone
+    fetched.status = 0; // the engine to fetch from is gone
   }
-  auto reply = refusal(502, "SourceGone");
+  auto reply = error_reply(502, "SourceGone");
   if (fetched.status == 200) {
-    reply = take_in_kv(json::parse(fetched.body));
+    reply = store_imported_kv(json::parse(fetched.body));
   }
   co_await send(w, std::move(reply));
 }
 
-fake_reply fake_model_engine::take_in_kv(const json::value& kv)
+fake_reply fake_model_engine::store_imported_kv(const json::value& kv)
 {
-  const auto model = text_of(kv, "model");
-  const auto prompt = text_of(kv, "prompt");
-  const auto made = static_cast<std::size_t>(number_of(kv, "made"));
-  imported_[answer_hash(model, prompt)] = made;
-  cache_.store(block_hashes(model, prompt), wall_now());
-  return {.body = {{"tokens", count_words(prompt) + made}}};
+  const auto model = string_field(kv, "model");
+  const auto prompt = string_field(kv, "prompt");
+  const auto generated = static_cast<std::size_t>(integer_field(kv, "made"));
+  imported_tokens_[answer_hash(model, prompt)] = generated;
+  cache_.insert(block_hashes(model, prompt), wall_now());
+  return {.body = {{"tokens", count_words(prompt) + generated}}};
 }
 
-asio::awaitable<void> fake_model_engine::obey(fake_request received, http::response_writer& w)
+asio::awaitable<void> fake_model_engine::handle_order(fake_request received,
+                                                      http::response_writer& w)
 {
-  const auto number = number_of(received.body, "fencing_number");
+  const auto number = integer_field(received.body, "fencing_number");
   if (settings_.checks_fencing && number < highest_fencing_number_) {
-    auto reply = refusal(409, "OldFencingNumber");
+    auto reply = error_reply(409, "OldFencingNumber");
     co_await send(w, std::move(reply));
     co_return;
   }
   highest_fencing_number_ = std::max(highest_fencing_number_, number);
   orders_.push_back(received.body);
-  const auto order = text_of(received.body, "order");
-  const auto model = text_of(received.body, "model");
+  const auto order = string_field(received.body, "order");
+  const auto model = string_field(received.body, "model");
   if (order == "load") {
-    co_await pause(settings_.load_model_ms);
+    co_await async_sleep(settings_.load_model_ms);
     models_.insert(model);
   } else if (order == "unload") {
     models_.erase(model);
@@ -161,7 +163,7 @@
         settings_.drop_events_every > 0 && each.sequence % settings_.drop_events_every == 0;
     if (each.sequence > after && each.at <= visible_until && !dropped) {
       out.push_back({{"sequence", each.sequence},
-                     {"prefix_hash", hash_name(each.prefix_hash)},
+                     {"prefix_hash", hash_hex(each.prefix_hash)},
                      {"kind", each.stored ? "stored" : "evicted"}});
     }
   }
@@ -171,7 +173,7 @@
 fake_reply fake_model_engine::load() const
 {
   const auto measured_at = wall_now() - settings_.load_lag_ms;
-  const auto report = loads_.at(measured_at);
+  const auto report = load_history_.at(measured_at);
   return {.body = {{"running", report.running},
                    {"waiting", report.waiting},
                    {"max_running", settings_.max_running},
@@ -180,14 +182,14 @@
                    {"measured_at_unix_ms", to_unix_ms(measured_at)}}};
 }
 
-fake_reply fake_model_engine::fail(const json::value& body)
+fake_reply fake_model_engine::inject_failure(const json::value& body)
 {
   if (body.as_object().contains("die")) {
     close();
     return {};
   }
-  cut_after_ = static_cast<std::size_t>(number_of(body, "after_tokens"));
-  cuts_left_ = number_of(body, "times", 1);
+  cut_after_tokens_ = static_cast<std::size_t>(integer_field(body, "after_tokens"));
+  remaining_cuts_ = integer_field(body, "times", 1);
   return {};
 }
 
--- a/test/fakes/fake_model_engine_main.cc
+++ b/test/fakes/fake_model_engine_main.cc
@@ -1,4 +1,4 @@
-// Runs a fake_model_engine as a program.
+// A program that runs a fake_model_engine.
 
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
--- a/test/fakes/fake_model_engine_test.cc
+++ b/test/fakes/fake_model_engine_test.cc
@@ -15,7 +15,7 @@
 namespace json = boost::json;
 
 constexpr std::size_t long_answer_tokens = 100'000;
-constexpr std::size_t long_prompt_words = 40; // two whole blocks and a half
+constexpr std::size_t long_prompt_words = 40; // two and a half blocks
 
 class FakeModelEngineTest : public testing::Test {
  protected:
@@ -42,18 +42,19 @@
     return json::parse(fakes::call(context_, client_, engine.address(), completion(body, id)).body);
   }
 
-  // Starts a long stream, reads its first bytes and leaves it waiting for its next token.
+  // Starts a long stream, reads its first bytes and leaves the engine waiting before the next
+  // token.
   void start_stream(fake_model_engine& engine, std::string id)
   {
     engine.set({{"token_interval_ms", 1}});
-    begun_ = false;
+    started_ = false;
     const json::object body = {{"stream", true}, {"max_tokens", long_answer_tokens}};
     http::stream_observer observer;
-    observer.on_bytes = [this](std::string_view) { begun_ = true; };
+    observer.on_bytes = [this](std::string_view) { started_ = true; };
     boost::asio::co_spawn(
         context_, client_.stream(engine.address(), completion(body, id), far_deadline(), observer),
         boost::asio::detached);
-    run_until(context_, [&] { return begun_; });
+    run_until(context_, [&] { return started_; });
     engine.set({{"token_interval_ms", 60'000}});
   }
 
@@ -75,7 +76,7 @@
   fake_model_engine engine_{context_};
   fake_model_engine other_{context_};
   http::client client_{context_};
-  bool begun_ = false;
+  bool started_ = false;
 };
 
 TEST_F(FakeModelEngineTest, AnswersTheSameOnEveryEngine)
@@ -106,9 +107,9 @@
 
 TEST_F(FakeModelEngineTest, ResumesWithTheSameBytesAndCountsRecomputedTokens)
 {
-  const auto begun = tokens_text("m", "a b c", 0, 2);
-  const auto answer = complete(other_, {{"resume_tokens", 2}, {"resume_text", begun}});
-  EXPECT_EQ(begun + text_in(answer), tokens_text("m", "a b c", 0, 5));
+  const auto first_part = tokens_text("m", "a b c", 0, 2);
+  const auto answer = complete(other_, {{"resume_tokens", 2}, {"resume_text", first_part}});
+  EXPECT_EQ(first_part + text_in(answer), tokens_text("m", "a b c", 0, 5));
   EXPECT_EQ(answer.at("usage").at("recomputed_tokens"), 3 + 2);
 }
 
@@ -153,7 +154,7 @@
   ASSERT_EQ(events.as_array().size(), 1U) << events;
   EXPECT_EQ(events.at(0).at("kind"), "evicted");
   EXPECT_EQ(events.at(0).at("prefix_hash"),
-            json::value(hash_name(block_hashes("m", long_prompt()).at(1))));
+            json::value(hash_hex(block_hashes("m", long_prompt()).at(1))));
 }
 
 TEST_F(FakeModelEngineTest, HidesEveryNthCacheEvent)
--- a/test/fakes/fake_object_api.cc
+++ b/test/fakes/fake_object_api.cc
@@ -62,11 +62,12 @@
 std::string version_of(const json::value& object)
 {
   const auto* metadata = object.as_object().if_contains("metadata");
-  return metadata == nullptr ? "" : text_of(*metadata, "resourceVersion");
+  return metadata == nullptr ? "" : string_field(*metadata, "resourceVersion");
 }
 
-// Equality terms ("k=v", "k!=v", joined by commas) are enough for the fake.
-bool selects(std::string_view selector, const json::value& object)
+// Supports only equality terms ("k=v", "k!=v", joined by commas). Throws std::invalid_argument for
+// other terms.
+bool matches_selector(std::string_view selector, const json::value& object)
 {
   const auto* labels = object.at("metadata").as_object().if_contains("labels");
   const json::value none = json::object();
@@ -79,7 +80,7 @@
     }
     const bool negated = term[equals - 1] == '!';
     const auto name = term.substr(0, negated ? equals - 1 : equals);
-    const auto value = text_of(labels == nullptr ? none : *labels, name);
+    const auto value = string_field(labels == nullptr ? none : *labels, name);
     if ((value == term.substr(equals + 1)) == negated) {
       return false;
     }
@@ -115,15 +116,15 @@
   read_field(changes, "drop_events", events_to_drop_);
   if (changes.as_object().contains("seed")) {
     read_field(changes, "seed", faults_.seed);
-    chance_.seed(faults_.seed);
+    rng_.seed(faults_.seed);
   }
   if (changes.as_object().contains("stale_for_ms")) {
-    const std::chrono::milliseconds time(number_of(changes, "stale_for_ms"));
+    const std::chrono::milliseconds time(integer_field(changes, "stale_for_ms"));
     stale_until_ = std::chrono::steady_clock::now() + time;
     stale_objects_ = objects_;
     stale_version_ = version_;
   }
-  changed_.cancel(); // lets watches and held calls see an outage begin or end
+  changed_.cancel(); // wakes watches and hanging calls, as an outage may have begun or ended
 }
 
 void fake_object_api::forget_history()
@@ -135,7 +136,7 @@
 asio::awaitable<void> fake_object_api::serve(fake_request received, http::response_writer& w)
 {
   if (received.path.starts_with("/_fake/")) {
-    auto reply = control(received);
+    auto reply = handle_control_request(received);
     co_await send(w, std::move(reply));
     co_return;
   }
@@ -143,8 +144,8 @@
   const bool reading = received.method == "GET";
   auto& count = watching ? counts_.watches : (reading ? counts_.reads : counts_.writes);
   ++count;
-  co_await pause(faults_.delay_ms);
-  const bool up = co_await pass_outage(w);
+  co_await async_sleep(faults_.delay_ms);
+  const bool up = co_await check_outage(w);
   if (!up) {
     co_return;
   }
@@ -152,16 +153,16 @@
     co_await watch(std::move(received), w);
     co_return;
   }
-  auto reply = operate(received);
-  if (!reading && loses_answer()) {
+  auto reply = dispatch(received);
+  if (!reading && decide_lost_answer()) {
     w.abort();
     co_return;
   }
   co_await send(w, std::move(reply));
 }
 
-// Returns whether the call may go on; else it has been answered or cut.
-asio::awaitable<bool> fake_object_api::pass_outage(http::response_writer& w)
+// Returns whether the call may proceed; otherwise it has been answered or its connection closed.
+asio::awaitable<bool> fake_object_api::check_outage(http::response_writer& w)
 {
   if (faults_.outage == "refuse") {
     auto reply = failure(503, "ServiceUnavailable", "the object API is down");
@@ -171,7 +172,7 @@
   if (faults_.outage != "hang") {
     co_return true;
   }
-  while (faults_.outage == "hang" && !dead_) {
+  while (faults_.outage == "hang" && !closed_) {
     boost::system::error_code ec;
     co_await changed_.async_wait(asio::redirect_error(asio::use_awaitable, ec));
   }
@@ -206,7 +207,7 @@
   http::response head;
   co_await w.start_stream(head);
   while (!gone && std::chrono::steady_clock::now() < ends_at) {
-    if (faults_.outage == "refuse" || dead_) {
+    if (faults_.outage == "refuse" || closed_) {
       w.abort();
       co_return;
     }
@@ -217,7 +218,7 @@
     }
     if (!lines.empty()) {
       co_await w.write_chunk(lines);
-      continue; // more may have changed meanwhile
+      continue; // more may have changed during the write
     }
     boost::system::error_code ec;
     co_await changed_.async_wait(asio::redirect_error(asio::use_awaitable, ec));
@@ -229,7 +230,7 @@
   }
 }
 
-fake_reply fake_object_api::control(const fake_request& received)
+fake_reply fake_object_api::handle_control_request(const fake_request& received)
 {
   if (received.is("POST", "/_fake/faults")) {
     set_faults(received.body);
@@ -246,17 +247,17 @@
                    {"version", version_}}};
 }
 
-fake_reply fake_object_api::operate(const fake_request& received)
+fake_reply fake_object_api::dispatch(const fake_request& received)
 {
   const auto& parts = received.segments;
-  const bool whole_resource = parts.size() == root_segments + 1;
+  const bool is_collection = parts.size() == root_segments + 1;
   if (!received.path.starts_with(root) || parts.size() > root_segments + 2) {
     return failure(404, "NotFound", "no such path");
   }
-  if (received.text.size() > value_limit) {
+  if (received.body_text.size() > value_limit) {
     return failure(413, "RequestEntityTooLarge", "the value is over a megabyte");
   }
-  if (whole_resource) {
+  if (is_collection) {
     return received.method == "POST" ? create(received) : list(received);
   }
   const auto key = parts.at(root_segments) + "/" + parts.at(root_segments + 1);
@@ -274,23 +275,23 @@
   const auto prefix = received.segments.at(root_segments) + "/";
   const auto selector = http::find_header(received.query, "labelSelector");
   json::array items;
-  for (auto it = shown().lower_bound(prefix); it != shown().end(); ++it) {
+  for (auto it = visible_objects().lower_bound(prefix); it != visible_objects().end(); ++it) {
     if (!it->first.starts_with(prefix)) {
       break;
     }
-    if (selects(selector, it->second)) {
+    if (matches_selector(selector, it->second)) {
       items.push_back(it->second);
     }
   }
   return {.body = {{"kind", "List"},
-                   {"metadata", {{"resourceVersion", std::to_string(shown_version())}}},
+                   {"metadata", {{"resourceVersion", std::to_string(visible_version())}}},
                    {"items", std::move(items)}}};
 }
 
 fake_reply fake_object_api::get(const std::string& key) const
 {
-  const auto it = shown().find(key);
-  if (it == shown().end()) {
+  const auto it = visible_objects().find(key);
+  if (it == visible_objects().end()) {
     return failure(404, "NotFound", key + " does not exist");
   }
   return {.body = it->second};
@@ -301,7 +302,7 @@
   static const std::regex valid_name("[a-z0-9]([-a-z0-9.]*[a-z0-9])?");
   auto object = received.body;
   auto& metadata = metadata_of(object);
-  const auto name = text_of(metadata, "name");
+  const auto name = string_field(metadata, "name");
   if (!std::regex_match(name, valid_name)) {
     return failure(422, "Invalid", "not a name: " + name);
   }
@@ -333,7 +334,7 @@
 fake_reply fake_object_api::remove(const fake_request& received, const std::string& key)
 {
   const auto* conditions = received.body.as_object().if_contains("preconditions");
-  const auto expected = conditions == nullptr ? "" : text_of(*conditions, "resourceVersion");
+  const auto expected = conditions == nullptr ? "" : string_field(*conditions, "resourceVersion");
   auto object = objects_.at(key);
   if (!expected.empty() && expected != version_of(object)) {
     return failure(409, "Conflict", key + " has version " + version_of(object));
@@ -343,18 +344,18 @@
   return {.body = {{"kind", "Status"}, {"status", "Success"}}};
 }
 
-// Gives `object` the next version, keeps it and tells watches.
+// Stores `object` under the next version, records the change and wakes the watches.
 void fake_object_api::store(const std::string& plural, const std::string& key,
                             std::string_view event, json::value object)
 {
   ++version_;
   metadata_of(object)["resourceVersion"] = std::to_string(version_);
-  change made{.version = version_, .plural = plural, .event = event_line(event, object)};
+  change recorded{.version = version_, .plural = plural, .event = event_line(event, object)};
   if (events_to_drop_ > 0) {
     --events_to_drop_;
-    made.event.clear();
+    recorded.event.clear();
   }
-  history_.push_back(std::move(made));
+  history_.push_back(std::move(recorded));
   if (history_.size() > history_limit) {
     history_start_ = history_.front().version;
     history_.pop_front();
@@ -376,10 +377,10 @@
   return lines;
 }
 
-bool fake_object_api::loses_answer()
+bool fake_object_api::decide_lost_answer()
 {
   std::uniform_real_distribution<double> unit;
-  bool lost = unit(chance_) < faults_.lose_answer_probability;
+  bool lost = unit(rng_) < faults_.lose_answer_probability;
   if (faults_.lose_answers > 0) {
     --faults_.lose_answers;
     lost = true;
@@ -388,12 +389,12 @@
   return lost;
 }
 
-const fake_object_api::objects& fake_object_api::shown() const
+const fake_object_api::objects& fake_object_api::visible_objects() const
 {
   return std::chrono::steady_clock::now() < stale_until_ ? stale_objects_ : objects_;
 }
 
-std::uint64_t fake_object_api::shown_version() const
+std::uint64_t fake_object_api::visible_version() const
 {
   return std::chrono::steady_clock::now() < stale_until_ ? stale_version_ : version_;
 }
--- a/test/fakes/fake_object_api_main.cc
+++ b/test/fakes/fake_object_api_main.cc
@@ -1,4 +1,4 @@
-// Runs a fake_object_api as a program.
+// A program that runs a fake_object_api.
 
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
--- a/test/fakes/fake_object_api_test.cc
+++ b/test/fakes/fake_object_api_test.cc
@@ -25,7 +25,7 @@
     return call("POST", "leases", R"({"metadata":{"name":")" + name + R"("},"spec":{"a":1}})");
   }
 
-  // The events of a watch of a second from `version` on, one a line.
+  // Watches for one second from `version` on and returns the events, one per line.
   std::string watch(std::string version)
   {
     return call("GET", "leases?watch=true&timeoutSeconds=1&resourceVersion=" + version).body;
--- a/test/fakes/fake_plain_service.cc
+++ b/test/fakes/fake_plain_service.cc
@@ -25,15 +25,15 @@
 asio::awaitable<void> fake_plain_service::serve(fake_request received, http::response_writer& w)
 {
   if (received.path.starts_with("/_fake/")) {
-    auto reply = control(received);
+    auto reply = handle_control_request(received);
     co_await send(w, std::move(reply));
     co_return;
   }
-  auto reply = run(received);
+  auto reply = execute(received);
   const bool lost = settings_.lose_answers > 0;
   settings_.lose_answers -= lost ? 1 : 0;
   const bool slow = received.path.starts_with("/slow");
-  co_await pause(slow ? settings_.slow_ms : settings_.delay_ms);
+  co_await async_sleep(slow ? settings_.slow_ms : settings_.delay_ms);
   if (lost) {
     w.abort();
     co_return;
@@ -41,7 +41,7 @@
   co_await send(w, std::move(reply));
 }
 
-fake_reply fake_plain_service::control(const fake_request& received)
+fake_reply fake_plain_service::handle_control_request(const fake_request& received)
 {
   if (received.is("POST", "/_fake/settings")) {
     set(received.body);
@@ -52,7 +52,7 @@
                    {"requests_received_at_unix_ms", received_at_}}};
 }
 
-fake_reply fake_plain_service::run(const fake_request& received)
+fake_reply fake_plain_service::execute(const fake_request& received)
 {
   received_at_.push_back(to_unix_ms(wall_now()));
   ++total_;
@@ -60,7 +60,8 @@
   if (!key.empty()) {
     ++runs_[std::string(key)];
   }
-  return {.body = {{"path", received.path}, {"method", received.method}, {"body", received.text}}};
+  return {
+      .body = {{"path", received.path}, {"method", received.method}, {"body", received.body_text}}};
 }
 
 } // namespace wisteriaflow::fakes
--- a/test/fakes/fake_plain_service_main.cc
+++ b/test/fakes/fake_plain_service_main.cc
@@ -1,4 +1,4 @@
-// Runs a fake_plain_service as a program.
+// A program that runs a fake_plain_service.
 
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
--- a/test/fakes/fake_server.cc
+++ b/test/fakes/fake_server.cc
@@ -16,14 +16,14 @@
 
 constexpr std::size_t body_limit = std::size_t{2} * 1024 * 1024;
 
-fake_request take_apart(http::request received)
+fake_request parse_request(http::request received)
 {
   auto target = http::parse_target(received.target);
   fake_request out{.method = std::move(received.method),
                    .path = target.path,
                    .query = std::move(target.query),
                    .fields = std::move(received.fields),
-                   .text = std::move(received.body)};
+                   .body_text = std::move(received.body)};
   std::size_t begin = 1;
   while (begin < target.path.size()) {
     const auto end = std::min(target.path.find('/', begin), target.path.size());
@@ -31,7 +31,7 @@
     begin = end + 1;
   }
   boost::system::error_code ec;
-  out.body = json::parse(out.text, ec);
+  out.body = json::parse(out.body_text, ec);
   if (ec || !out.body.is_object()) {
     out.body = json::object();
   }
@@ -50,7 +50,7 @@
   return method == wanted_method && path == wanted_path;
 }
 
-fake_reply refusal(int status, std::string_view reason)
+fake_reply error_reply(int status, std::string_view reason)
 {
   return {.status = status, .body = {{"reason", reason}}};
 }
@@ -58,22 +58,23 @@
 fake_server::fake_server(asio::io_context& context, std::uint16_t port)
     : context_(context), server_(context, {.address = {.port = port}, .body_limit = body_limit},
                                  [this](http::request received, http::response_writer& w) {
-                                   return serve_checked(std::move(received), w);
+                                   return serve_catching_errors(std::move(received), w);
                                  })
 {
 }
 
 void fake_server::close()
 {
-  dead_ = true;
+  closed_ = true;
   server_.close();
 }
 
-asio::awaitable<void> fake_server::serve_checked(http::request received, http::response_writer& w)
+asio::awaitable<void> fake_server::serve_catching_errors(http::request received,
+                                                         http::response_writer& w)
 {
   std::string failure;
   try {
-    auto parts = take_apart(std::move(received));
+    auto parts = parse_request(std::move(received));
     co_await serve(std::move(parts), w);
     co_return;
   } catch (const boost::system::system_error& e) {
@@ -94,7 +95,7 @@
   co_await w.send(std::move(out));
 }
 
-asio::awaitable<void> fake_server::pause(std::chrono::milliseconds time)
+asio::awaitable<void> fake_server::async_sleep(std::chrono::milliseconds time)
 {
   if (time.count() > 0) {
     asio::steady_timer timer(context_, time);
@@ -104,17 +105,17 @@
 
 void read_field(const json::value& from, std::string_view name, std::chrono::milliseconds& to)
 {
-  to = std::chrono::milliseconds(number_of(from, name, to.count()));
+  to = std::chrono::milliseconds(integer_field(from, name, to.count()));
 }
 
-std::string text_of(const json::value& from, std::string_view name, std::string_view fallback)
+std::string string_field(const json::value& from, std::string_view name, std::string_view fallback)
 {
   std::string out(fallback);
   read_field(from, name, out);
   return out;
 }
 
-std::int64_t number_of(const json::value& from, std::string_view name, std::int64_t fallback)
+std::int64_t integer_field(const json::value& from, std::string_view name, std::int64_t fallback)
 {
   read_field(from, name, fallback);
   return fallback;
--- a/test/fakes/fake_server.h
+++ b/test/fakes/fake_server.h
@@ -1,4 +1,12 @@
-// What the fakes share: an HTTP server whose requests and replies are JSON.
+// Base class of the fakes: an HTTP server with JSON requests and replies, and helpers that read
+// fields of JSON objects. A fake overrides serve():
+//
+//   class fake_clock final : public fake_server {
+//     boost::asio::awaitable<void> serve(fake_request received, http::response_writer& w) override
+//     {
+//       co_await send(w, {.body = {{"now", to_unix_ms(wall_now())}}});
+//     }
+//   };
 
 #ifndef WISTERIAFLOW_TEST_FAKES_FAKE_SERVER_H_
 #define WISTERIAFLOW_TEST_FAKES_FAKE_SERVER_H_
@@ -19,30 +27,31 @@
 
 namespace wisteriaflow::fakes {
 
-// A request, taken apart.
+// A parsed request.
 struct fake_request {
   std::string method;
   std::string path;
-  std::vector<std::string> segments; // of the path
+  std::vector<std::string> segments; // of the path, without the slashes
   http::headers query;
   http::headers fields;
-  std::string text;
-  boost::json::value body; // `text` parsed; an empty object if it is not JSON
+  std::string body_text;
+  boost::json::value body; // `body_text` parsed; an empty object unless it is a JSON object
 
-  // Whether this is `wanted_method` on exactly `wanted_path`.
+  // Returns whether this is `wanted_method` on exactly `wanted_path`.
   [[nodiscard]] bool is(std::string_view wanted_method, std::string_view wanted_path) const;
 };
 
-// A whole reply.
+// A complete reply.
 struct fake_reply {
   int status = 200;
   boost::json::value body = boost::json::object();
 };
 
-// A refusal with a body {"reason":`reason`}.
-[[nodiscard]] fake_reply refusal(int status, std::string_view reason);
+// Returns an error reply with the body {"reason":`reason`}.
+[[nodiscard]] fake_reply error_reply(int status, std::string_view reason);
 
-// Base of the fakes. Lives as long as its context runs: to let one die, call close().
+// Base of the fakes. Must outlive the run of its io_context, whose coroutines refer to it: call
+// close() to simulate the death of the process instead of destroying the object.
 class fake_server {
  public:
   virtual ~fake_server() = default;
@@ -51,28 +60,31 @@
 
   [[nodiscard]] http::socket_address address() const { return server_.address(); }
 
-  // Closes the listener and every connection, as when the process dies.
+  // Closes the listener and every connection, as the death of the process does.
   virtual void close();
 
  protected:
+  // Listens on `port`; 0 lets the kernel choose one.
   fake_server(boost::asio::io_context& context, std::uint16_t port);
 
-  // Answers one request. A JSON error that escapes becomes a 400.
+  // Answers one request. A JSON error or std::invalid_argument that it throws is answered with 400.
   virtual boost::asio::awaitable<void> serve(fake_request received, http::response_writer& w) = 0;
 
   static boost::asio::awaitable<void> send(http::response_writer& w, fake_reply reply);
-  boost::asio::awaitable<void> pause(std::chrono::milliseconds time);
+  // Suspends the coroutine for `time`; returns at once if it is not positive.
+  boost::asio::awaitable<void> async_sleep(std::chrono::milliseconds time);
 
   boost::asio::io_context& context_;
-  bool dead_ = false;
+  bool closed_ = false;
 
  private:
-  boost::asio::awaitable<void> serve_checked(http::request received, http::response_writer& w);
+  boost::asio::awaitable<void> serve_catching_errors(http::request received,
+                                                     http::response_writer& w);
 
   http::server server_;
 };
 
-// Reads an optional field of `from` into `to`, if it is there.
+// Reads an optional field of the object `from` into `to`; leaves `to` unchanged without the field.
 template <typename field_type>
 void read_field(const boost::json::value& from, std::string_view name, field_type& to)
 {
@@ -81,18 +93,19 @@
   }
 }
 
-// Reads a number of milliseconds, if it is there.
+// Reads an optional number of milliseconds.
 void read_field(const boost::json::value& from, std::string_view name,
                 std::chrono::milliseconds& to);
 
-// A text field of `from`, or `fallback`.
-[[nodiscard]] std::string text_of(const boost::json::value& from, std::string_view name,
-                                  std::string_view fallback = {});
+// Returns a string field of `from`, or `fallback` without it.
+[[nodiscard]] std::string string_field(const boost::json::value& from, std::string_view name,
+                                       std::string_view fallback = {});
 
-// A whole-number field of `from`, or `fallback`.
-[[nodiscard]] std::int64_t number_of(const boost::json::value& from, std::string_view name,
-                                     std::int64_t fallback = 0);
+// Returns an integer field of `from`, or `fallback` without it.
+[[nodiscard]] std::int64_t integer_field(const boost::json::value& from, std::string_view name,
+                                         std::int64_t fallback = 0);
 
+// Returns the system time, rounded down to milliseconds.
 [[nodiscard]] wall_time wall_now();
 
 } // namespace wisteriaflow::fakes
--- a/test/fakes/fake_store.cc
+++ b/test/fakes/fake_store.cc
@@ -11,7 +11,7 @@
 
 namespace json = boost::json;
 
-// A watch without changes is answered after this.
+// A watch that finds no changes is answered after this time.
 constexpr std::chrono::milliseconds watch_pause{20};
 
 std::string query_of(const fake_request& r, std::string_view name)
@@ -67,17 +67,17 @@
 boost::asio::awaitable<void> fake_store::serve(fake_request received, http::response_writer& w)
 {
   const auto after = query_of(received, "watch");
-  auto reply = answer(received);
+  auto reply = dispatch(received);
   if (!after.empty() && reply.status == 200 && reply.body.at("events").as_array().empty()) {
-    co_await pause(watch_pause);
-    reply = answer(received);
+    co_await async_sleep(watch_pause);
+    reply = dispatch(received);
   }
   co_await send(w, std::move(reply));
 }
 
-fake_reply fake_store::answer(const fake_request& r)
+fake_reply fake_store::dispatch(const fake_request& r)
 {
-  if (away) {
+  if (unavailable) {
     return {.status = 503};
   }
   const auto& kind = r.segments.at(1);
@@ -104,17 +104,17 @@
   return {.body = render(name, it->second)};
 }
 
-void fake_store::freeze_stale_lists()
+void fake_store::snapshot_for_stale_lists()
 {
-  stale_ = *content_;
+  stale_snapshot_ = *content_;
 }
 
 fake_reply fake_store::list(const std::string& kind, const std::string& after, bool stale)
 {
-  if (const auto call = lists++; call < refused_lists.size() && refused_lists[call]) {
+  if (const auto call = list_calls++; call < refused_lists.size() && refused_lists[call]) {
     return {.status = 429};
   }
-  auto& from = stale && stale_ ? *stale_ : *content_;
+  auto& from = stale && stale_snapshot_ ? *stale_snapshot_ : *content_;
   json::array items;
   bool has_more = false;
   for (const auto& [name, o] : from.kinds[kind]) {
--- a/test/fakes/fake_store.h
+++ b/test/fakes/fake_store.h
@@ -1,5 +1,10 @@
-// The platform's store as far as the gateway uses it: objects by kind and name at one revision
-// counter, lists, watches that return at once, conditional writes.
+// A fake of the part of the platform's store that the gateway uses: objects by kind and name under
+// one revision counter, paged lists, conditional writes, and watches that return at once if there
+// are changes and otherwise after 20 ms.
+//
+//   fake_store store(context);
+//   store.put("Service", "echo", {{"timeout_ms", 500}});
+//   store.unavailable = true; // every call is answered 503
 
 #ifndef WISTERIAFLOW_TEST_FAKES_FAKE_STORE_H_
 #define WISTERIAFLOW_TEST_FAKES_FAKE_STORE_H_
@@ -26,44 +31,47 @@
   {
   }
 
-  // Another way to the content of `same`, which can be away by itself: the platform's store may
-  // turn some daemons away and serve the others.
+  // A second address of the objects of `same`, with faults of its own: the platform's store may
+  // refuse some daemons while it serves the others.
   fake_store(boost::asio::io_context& context, const fake_store& same)
       : fake_server(context, 0), content_(same.content_)
   {
   }
 
-  // Writes an object as the operator or an endpoint does.
+  // Creates or replaces an object without a revision check, as if the operator or an endpoint had
+  // written it.
   void put(const std::string& kind, const std::string& name, boost::json::value spec);
   void erase(const std::string& kind, const std::string& name);
 
-  // The object's status; null if there is none.
+  // Returns the status of an object; null without a status or an object.
   [[nodiscard]] boost::json::value status(const std::string& kind, const std::string& name) const;
 
-  // The object's content; null if there is none.
+  // Returns the spec of an object; null without such an object.
   [[nodiscard]] boost::json::value get(const std::string& kind, const std::string& name) const;
 
-  // While set, every call is answered 503.
-  bool away = false;
-  // Objects in one page of a list, and changes in one answer to a watch.
+  // While true, every call is answered 503.
+  bool unavailable = false;
+  // Maximum number of objects in a page of a list, and of changes in an answer to a watch.
   std::size_t page_size = 1'000;
-  // Lists that may be stale tell what is there now, whatever changes afterwards.
-  void freeze_stale_lists();
-  // The next calls for lists that are answered 429, and those that were answered.
-  std::vector<bool> refused_lists; // by call; true: refused
-  std::size_t lists = 0;
+  // From now on, lists whose caller accepts stale results show the present objects, whatever
+  // changes afterwards.
+  void snapshot_for_stale_lists();
+  // Which list calls are answered 429, by the number of the call from 0, and the list calls so
+  // far, refused ones included.
+  std::vector<bool> refused_lists;
+  std::size_t list_calls = 0;
 
  private:
   struct object {
     std::uint64_t revision = 0;
     boost::json::value spec;
     bool deleted = false;
-    std::uint64_t created = 0; // revision
+    std::uint64_t created = 0; // revision of the creation
     boost::json::value status = nullptr;
   };
 
   boost::asio::awaitable<void> serve(fake_request received, http::response_writer& w) override;
-  fake_reply answer(const fake_request& received);
+  fake_reply dispatch(const fake_request& received);
   fake_reply list(const std::string& kind, const std::string& after, bool stale);
   fake_reply changes(const std::string& kind, std::uint64_t after);
   fake_reply create(const std::string& kind, const boost::json::value& body);
@@ -79,7 +87,7 @@
   };
 
   std::shared_ptr<content> content_;
-  std::optional<content> stale_;
+  std::optional<content> stale_snapshot_;
 };
 
 } // namespace wisteriaflow::fakes
--- a/test/fakes/free_addresses.cc
+++ b/test/fakes/free_addresses.cc
@@ -9,7 +9,7 @@
 
 using boost::asio::ip::tcp;
 
-std::string own_loopback_host(unsigned number)
+std::string process_loopback_host(unsigned number)
 {
   const auto pid = static_cast<unsigned>(getpid());
   return "127." + std::to_string(1 + pid / 256 % 254) + "." + std::to_string(pid % 256) + "." +
@@ -19,7 +19,7 @@
 std::vector<http::socket_address> free_addresses(const std::string& host, std::size_t count)
 {
   boost::asio::io_context context;
-  std::vector<tcp::acceptor> bound; // all at once, so that they differ
+  std::vector<tcp::acceptor> bound; // all stay bound until the end, so that the ports differ
   std::vector<http::socket_address> out;
   for (std::size_t i = 0; i < count; ++i) {
     bound.emplace_back(context, tcp::endpoint(boost::asio::ip::make_address(host), 0));
--- a/test/fakes/free_addresses.h
+++ b/test/fakes/free_addresses.h
@@ -1,4 +1,5 @@
-// Addresses for processes that must be told theirs before they listen.
+// Free loopback addresses for processes that need their address before they listen, for example in
+// a settings file.
 
 #ifndef WISTERIAFLOW_TEST_FAKES_FREE_ADDRESSES_H_
 #define WISTERIAFLOW_TEST_FAKES_FREE_ADDRESSES_H_
@@ -11,12 +12,14 @@
 
 namespace wisteriaflow::fakes {
 
-// A loopback address for one server of this process: 127.x.y.N, x and y by the process id.
-[[nodiscard]] std::string own_loopback_host(unsigned number);
+// Returns a loopback address for one server of this process: 127.x.y.N, with x and y from the
+// process id and N from `number`.
+[[nodiscard]] std::string process_loopback_host(unsigned number);
 
-// `count` addresses at `host`, with ports that the kernel chose. On a host of one server nobody
-// else takes the ports meanwhile: the kernel gives connections a port of the host that they lead
-// to, so on a shared host about one of a thousand ports was taken when the server bound it.
+// Returns `count` addresses at `host` with ports that the kernel chose; they are free again on
+// return. Use a `host` with one server only, see process_loopback_host(): the kernel gives an
+// outgoing connection a local port on the host that it connects to, so on a host that servers
+// share about one in a thousand ports was taken before the server bound it.
 [[nodiscard]] std::vector<http::socket_address> free_addresses(const std::string& host,
                                                                std::size_t count);
 
--- a/test/fakes/lagged.h
+++ b/test/fakes/lagged.h
@@ -1,4 +1,8 @@
-// A value that is reported late.
+// The history of a value, for fakes that report it with a lag.
+//
+//   value_history<int> load;
+//   load.set(wall_now(), 3);
+//   load.at(wall_now() - lag);
 
 #ifndef WISTERIAFLOW_TEST_FAKES_LAGGED_H_
 #define WISTERIAFLOW_TEST_FAKES_LAGGED_H_
@@ -10,19 +14,19 @@
 
 namespace wisteriaflow::fakes {
 
-// Keeps what a value was at each time, for as long as a lag may reach back.
-template <typename value_type> class lagged {
+// Keeps the values of the last `retention`, which bounds the lag.
+template <typename value_type> class value_history {
  public:
-  // The value is `value` from `now` on.
+  // Sets the value from `now` on. `now` must not be before that of the previous call.
   void set(wall_time now, value_type value)
   {
     history_.emplace_back(now, std::move(value));
-    while (history_.size() > 1 && history_[1].first < now - longest_lag) {
+    while (history_.size() > 1 && history_[1].first < now - retention) {
       history_.pop_front();
     }
   }
 
-  // The value at `time`, or an empty one if there was none yet.
+  // Returns the value at `time`; a default-constructed one if none was set by then.
   [[nodiscard]] value_type at(wall_time time) const
   {
     for (auto it = history_.rbegin(); it != history_.rend(); ++it) {
@@ -34,7 +38,7 @@
   }
 
  private:
-  static constexpr std::chrono::minutes longest_lag{5};
+  static constexpr std::chrono::minutes retention{5};
 
   std::deque<std::pair<wall_time, value_type>> history_;
 };
--- a/test/fakes/program.h
+++ b/test/fakes/program.h
@@ -1,4 +1,4 @@
-// What the fakes' programs share: flags, the line that tells the port, and the end on SIGTERM.
+// The main loop of the fakes' programs: prints the address and runs until SIGTERM.
 
 #ifndef WISTERIAFLOW_TEST_FAKES_PROGRAM_H_
 #define WISTERIAFLOW_TEST_FAKES_PROGRAM_H_
@@ -9,7 +9,8 @@
 
 namespace wisteriaflow::fakes {
 
-// Prints "listening ADDRESS" and runs `context` until SIGTERM or SIGINT.
+// Prints the line "listening ADDRESS", which starters wait for and which gives them the port, and
+// runs `context` until SIGTERM or SIGINT.
 void run_program(boost::asio::io_context& context, const http::socket_address& address);
 
 } // namespace wisteriaflow::fakes
--- a/test/fakes/run.h
+++ b/test/fakes/run.h
@@ -1,4 +1,4 @@
-// Runs coroutines to their end, for tests.
+// Helpers for tests that run coroutines to completion on the test's thread.
 
 #ifndef WISTERIAFLOW_TEST_FAKES_RUN_H_
 #define WISTERIAFLOW_TEST_FAKES_RUN_H_
@@ -17,13 +17,13 @@
 
 namespace wisteriaflow::fakes {
 
-// A deadline far enough off that only a fault reaches it.
+// Returns a deadline, 60 s from now, that passes only if the code under test is at fault.
 inline mono_time far_deadline()
 {
   return std::chrono::steady_clock::now() + std::chrono::seconds(60);
 }
 
-// Runs `context` until `condition` holds.
+// Runs `context` until `condition` holds, which is checked after each handler.
 template <typename predicate> void run_until(boost::asio::io_context& context, predicate condition)
 {
   context.restart();
@@ -32,7 +32,7 @@
   }
 }
 
-// Runs `context` until `task` has ended, and throws what it threw.
+// Runs `context` until `task` has completed; rethrows its exception.
 inline void run(boost::asio::io_context& context, boost::asio::awaitable<void> task)
 {
   bool done = false;
@@ -47,7 +47,7 @@
   }
 }
 
-// Sends one request and returns its response.
+// Sends one request and returns its response. Throws what http::client::call() throws.
 inline http::response call(boost::asio::io_context& context, http::client& client,
                            const http::socket_address& to, http::request message)
 {
--- a/test/gateway_system/counting_endpoint.cc
+++ b/test/gateway_system/counting_endpoint.cc
@@ -103,11 +103,11 @@
     co_return;
   }
   if (active == misbehaviour::stalls) {
-    co_await pause(stall_time);
+    co_await async_sleep(stall_time);
     co_return;
   }
   if (active == misbehaviour::is_slow) {
-    co_await pause(slow_time);
+    co_await async_sleep(slow_time);
   }
   if (r.path.starts_with("/stream/") || r.path.starts_with("/resumable/")) {
     co_await stream(r, active, announced, w);
@@ -144,7 +144,7 @@
     }
     const auto text = event(i, request);
     co_await w.write_chunk(text);
-    co_await pause(event_pause);
+    co_await async_sleep(event_pause);
   }
   co_await w.finish_stream();
 }
--- a/test/gateway_system/gateway_fleet.cc
+++ b/test/gateway_system/gateway_fleet.cc
@@ -48,7 +48,7 @@
 } // namespace
 
 gateway_fleet::gateway_fleet(boost::asio::io_context& context)
-    : context_(context), folder_(make_folder()), proxies_host_(fakes::own_loopback_host(0)),
+    : context_(context), folder_(make_folder()), proxies_host_(fakes::process_loopback_host(0)),
       store_(context)
 {
   write_configuration();
@@ -83,7 +83,7 @@
   auto d = std::make_unique<gateway_process>();
   d->id = "d" + std::to_string(++last_daemon_);
   const auto free =
-      fakes::free_addresses(fakes::own_loopback_host(static_cast<unsigned>(last_daemon_)), 4);
+      fakes::free_addresses(fakes::process_loopback_host(static_cast<unsigned>(last_daemon_)), 4);
   d->callers = free[0];
   d->readiness = free[1];
   d->peers = free[2];
--- a/test/gateway_system/gateway_process_test.cc
+++ b/test/gateway_system/gateway_process_test.cc
@@ -89,11 +89,11 @@
   {
     daemon_->running->signal(SIGTERM);
     const auto deadline = std::chrono::steady_clock::now() + 60s;
-    while (!daemon_->running->ended() && std::chrono::steady_clock::now() < deadline) {
+    while (!daemon_->running->exited_cleanly() && std::chrono::steady_clock::now() < deadline) {
       context_.restart();
       context_.run_for(20ms);
     }
-    return daemon_->running->ended().value_or(false);
+    return daemon_->running->exited_cleanly().value_or(false);
   }
 
   boost::asio::io_context context_;
--- a/test/gateway_system/gateway_soak_main.cc
+++ b/test/gateway_system/gateway_soak_main.cc
@@ -202,7 +202,7 @@
     fleet_.start_daemon();
     // A pause (SIGSTOP) may delay the exit, although the platform would kill the process even then.
     const auto limit = *d->sigterm_at + gateway_fleet::drain_grace;
-    while (!d->running->ended()) {
+    while (!d->running->exited_cleanly()) {
       if (limit < steady_clock::now() && d->is_undisturbed_since(*d->sigterm_at)) {
         calls_.add_violation(d->id + " has not exited within its drain grace period");
         d->running->kill();
@@ -213,7 +213,7 @@
     // A daemon without output received the signal before its handlers were installed; it has
     // accepted no calls then.
     const auto output = d->running->output();
-    if (!d->running->ended().value_or(false) && !output.empty()) {
+    if (!d->running->exited_cleanly().value_or(false) && !output.empty()) {
       calls_.add_violation(d->id + " did not exit with status 0: " +
                            output.substr(output.size() - std::min(output.size(), log_tail_bytes)));
     }
@@ -359,10 +359,10 @@
       disturb(*d, time);
     }
     ++store_outages_;
-    fleet_.store().away = true;
+    fleet_.store().unavailable = true;
     co_await sleep(time);
     --store_outages_;
-    fleet_.store().away = store_outages_ > 0;
+    fleet_.store().unavailable = store_outages_ > 0;
   }
 
   asio::awaitable<void> change_configuration()
--- a/test/relay/attempt_test.cc
+++ b/test/relay/attempt_test.cc
@@ -63,14 +63,14 @@
     const auto one = std::make_unique<attempt>(context_, state_, client_, call_, choose());
     result = co_await one->run(writer_);
   };
-  endpoint_.stall = 100ms;
+  endpoint_.blocking_delay = 100ms;
   fakes::run(context_, task());
   EXPECT_EQ(result.end, attempt_result::end_state::complete);
 }
 
 TEST_F(AttemptTest, EndsWhenTheEndpointSendsNothing)
 {
-  endpoint_.mood = fakes::endpoint_mood::says_nothing;
+  endpoint_.behaviour = fakes::endpoint_behaviour::never_responds;
   attempt_result result;
   auto task = [&]() -> boost::asio::awaitable<void> {
     const auto one = std::make_unique<attempt>(context_, state_, client_, call_, choose());
--- a/test/relay/crash_store_test.cc
+++ b/test/relay/crash_store_test.cc
@@ -112,21 +112,21 @@
 TEST_F(CrashStoreTest, ReadsAsSoonAsTheStoreIsReachableAgain)
 {
   fake_.put(kind, to_string(content), spec_from_other_daemon(3));
-  fake_.away = true;
+  fake_.unavailable = true;
   store_.start();
   run_for(500ms);
   EXPECT_FALSE(is_held());
-  fake_.away = false;
+  fake_.unavailable = false;
   wait_until([this] { return is_held(); }, "the hold is read");
 }
 
 TEST_F(CrashStoreTest, WritesAsSoonAsTheStoreIsReachableAgain)
 {
   store_.start();
-  fake_.away = true;
+  fake_.unavailable = true;
   record_crashes(3);
   run_for(500ms);
-  fake_.away = false;
+  fake_.unavailable = false;
   wait_until([this] { return stored_crash_count() == 3; }, "the hold is stored");
 }
 
--- a/test/relay/crashing_request_test.cc
+++ b/test/relay/crashing_request_test.cc
@@ -45,7 +45,7 @@
       auto& e = add_endpoint("i-" + std::to_string(++last_endpoint_));
       e.on_request = [&e] {
         const bool crashes = e.received.back().path.find("/deadly") != std::string::npos;
-        e.deadly_path = crashes ? e.received.back().path : "";
+        e.crash_path = crashes ? e.received.back().path : "";
       };
     }
   }
@@ -205,7 +205,7 @@
   add_endpoints(12);
   start_fleet(2);
   reach_hold_threshold();
-  store_.away = true;
+  store_.unavailable = true;
   auto& third = start_gateway(store_);
   wait_until([&] { return metrics_of(third).find("contents_held 1\n") != std::string::npos; },
              "the daemon knows the hold");
@@ -222,7 +222,7 @@
 {
   add_endpoints(12);
   start_fleet(3);
-  store_.away = true;
+  store_.unavailable = true;
   reach_hold_threshold();
   expect_held();
 }
@@ -290,7 +290,7 @@
   std::vector<http::request> other_requests;
   for (std::size_t round = 0; round < crashes_before_hold; ++round) {
     for (const auto& e : endpoints_) {
-      e->mood = endpoint_mood::says_nothing;
+      e->behaviour = endpoint_behaviour::never_responds;
     }
     for (int i = 0; i < concurrent; ++i) {
       auto message = request_for("POST", "/unsafe/other");
@@ -314,7 +314,7 @@
     run_for(1s);
   }
   for (const auto& e : endpoints_) {
-    e->mood = endpoint_mood::answers;
+    e->behaviour = endpoint_behaviour::answers;
   }
   for (const auto& message : other_requests) {
     start_request(*gateways_[0], message);
@@ -329,7 +329,7 @@
   start_fleet(1);
   for (const auto& e : endpoints_) {
     e->on_request = [] {};
-    e->mood = endpoint_mood::cuts;
+    e->behaviour = endpoint_behaviour::disconnects;
   }
   for (int i = 0; i < 8; ++i) {
     EXPECT_EQ(send_crash_request(*gateways_[0]), 502);
@@ -343,7 +343,7 @@
 {
   add_endpoints(1);
   start_fleet(1);
-  endpoints_[0]->mood = endpoint_mood::says_nothing;
+  endpoints_[0]->behaviour = endpoint_behaviour::never_responds;
   http::cancel_handle handle;
   bool call_ended = false;
   auto disconnect = [&]() -> boost::asio::awaitable<void> {
@@ -370,7 +370,8 @@
 {
   // Requests with one content are in flight at four endpoints whose zone is reclaimed.
   for (int i = 0; i < 4; ++i) {
-    add_endpoint("i-" + std::to_string(++last_endpoint_)).mood = endpoint_mood::says_nothing;
+    add_endpoint("i-" + std::to_string(++last_endpoint_)).behaviour =
+        endpoint_behaviour::never_responds;
   }
   start_fleet(1);
   while (std::any_of(endpoints_.begin(), endpoints_.end(),
--- a/test/relay/endpoint_pause_test.cc
+++ b/test/relay/endpoint_pause_test.cc
@@ -32,8 +32,8 @@
   // first daemon.
   void make_endpoint_refuse(fake_endpoint& e, const std::string& pause)
   {
-    e.mood = endpoint_mood::sheds;
-    e.statements = {{"Retry-After", pause}};
+    e.behaviour = endpoint_behaviour::refuses_not_executed;
+    e.extra_headers = {{"Retry-After", pause}};
     const auto before = e.received.size();
     wait_until(
         [&] {
@@ -81,7 +81,7 @@
   auto& failing = add_endpoint("i-2");
   start_fleet(1);
   make_endpoint_refuse(paused, long_pause);
-  failing.mood = endpoint_mood::fails;
+  failing.behaviour = endpoint_behaviour::fails;
   EXPECT_LE(send_and_count_received(paused, "/safe/1"), tolerated_requests);
 }
 
@@ -91,7 +91,7 @@
   auto& truncating = add_endpoint("i-2");
   start_fleet(1);
   make_endpoint_refuse(paused, long_pause);
-  truncating.mood = endpoint_mood::streams_and_cuts;
+  truncating.behaviour = endpoint_behaviour::streams_then_disconnects;
   EXPECT_LE(send_and_count_received(paused, "/resumable/1"), tolerated_requests);
 }
 
@@ -112,8 +112,8 @@
   auto& paused = add_endpoint("i-1");
   start_fleet(1);
   make_endpoint_refuse(paused, "0.5");
-  paused.mood = endpoint_mood::answers;
-  paused.statements.clear();
+  paused.behaviour = endpoint_behaviour::answers;
+  paused.extra_headers.clear();
   wait_until([this] { return call("POST", "/unsafe/1").status == 200; },
              "the endpoint is used again");
 }
@@ -123,8 +123,8 @@
   auto& paused = add_endpoint("i-1");
   start_fleet(2);
   make_endpoint_refuse(paused, long_pause);
-  paused.mood = endpoint_mood::answers;
-  paused.statements.clear();
+  paused.behaviour = endpoint_behaviour::answers;
+  paused.extra_headers.clear();
   const auto message = request_for("POST", "/unsafe/1");
   EXPECT_EQ(send(gateways_[1]->options.callers, message).status, 200);
 }
@@ -135,7 +135,7 @@
   start_fleet(1);
   for (const char* pause : {"-5", "soon", "1e9", "nan", "99999999", ""}) {
     make_endpoint_refuse(endpoint, pause);
-    endpoint.mood = endpoint_mood::answers;
+    endpoint.behaviour = endpoint_behaviour::answers;
     EXPECT_EQ(call("POST", "/unsafe/1").status, 200) << pause;
   }
 }
--- a/test/relay/endpoint_probe_test.cc
+++ b/test/relay/endpoint_probe_test.cc
@@ -47,7 +47,7 @@
 
 TEST_F(EndpointProbeTest, GivesConcurrentProbesTheSameResult)
 {
-  const auto address = fakes::free_addresses(fakes::own_loopback_host(200), 1).front();
+  const auto address = fakes::free_addresses(fakes::process_loopback_host(200), 1).front();
   std::vector<probe_verdict> verdicts;
   for (int i = 0; i < 64; ++i) {
     boost::asio::co_spawn(
--- a/test/relay/endpoint_rate_limit_test.cc
+++ b/test/relay/endpoint_rate_limit_test.cc
@@ -36,7 +36,7 @@
   // and every daemon must know of it.
   void announce_limit(fake_endpoint& e, const std::string& rate)
   {
-    e.statements = {{"Server-Limit", rate}};
+    e.extra_headers = {{"Server-Limit", rate}};
     const auto before = e.received.size();
     wait_until(
         [&] {
@@ -100,7 +100,7 @@
   auto& failing = add_endpoint("i-2");
   start_fleet(3);
   announce_limit(limited, "1.0");
-  failing.mood = endpoint_mood::fails;
+  failing.behaviour = endpoint_behaviour::fails;
   expect_limit_kept(limited, 1.0, 15, "/safe/1");
 }
 
@@ -109,9 +109,9 @@
   auto& limited = add_endpoint("i-1");
   auto& truncating = add_endpoint("i-2");
   start_fleet(3);
-  limited.mood = endpoint_mood::streams;
+  limited.behaviour = endpoint_behaviour::streams;
   announce_limit(limited, "1.0");
-  truncating.mood = endpoint_mood::streams_and_cuts;
+  truncating.behaviour = endpoint_behaviour::streams_then_disconnects;
   expect_limit_kept(limited, 1.0, 15, "/resumable/1");
 }
 
@@ -141,7 +141,7 @@
   auto& limited = add_endpoint("i-1");
   start_fleet(2);
   announce_limit(limited, "2.0");
-  limited.statements.clear();
+  limited.extra_headers.clear();
   wait_until(
       [&] {
         const auto answers = call_each_daemon("POST", "/unsafe/1");
@@ -161,7 +161,7 @@
   auto& endpoint = add_endpoint("i-1");
   start_fleet(1);
   for (const char* value : {"-3", "nan", "inf", "1e400", "many", "", "1,5", "0x10"}) {
-    endpoint.statements = {{"Server-Limit", value}};
+    endpoint.extra_headers = {{"Server-Limit", value}};
     for (int i = 0; i < 20; ++i) {
       EXPECT_EQ(call("POST", "/unsafe/1").status, 200) << value;
     }
--- a/test/relay/failure_cause_test.cc
+++ b/test/relay/failure_cause_test.cc
@@ -12,9 +12,9 @@
 
 class FailureCauseTest : public gateway_fixture {
  protected:
-  void start(endpoint_mood mood)
+  void start(endpoint_behaviour mood)
   {
-    add_endpoint("i-1").mood = mood;
+    add_endpoint("i-1").behaviour = mood;
     start_gateway(store_);
     wait_until_ready();
   }
@@ -50,7 +50,7 @@
 
 TEST_F(FailureCauseTest, ARefusalAsNotRunNamesTheEndpointThatWasFull)
 {
-  start(endpoint_mood::sheds);
+  start(endpoint_behaviour::refuses_not_executed);
   EXPECT_EQ(send_and_record_id("/unsafe/1"), 503);
   EXPECT_EQ(field_value("attempt failed", "endpoint"), "i-1");
   EXPECT_EQ(field_value("attempt failed", "status"), "503");
@@ -59,7 +59,7 @@
 
 TEST_F(FailureCauseTest, ALostAnswerNamesTheEndpointAndHowTheExchangeEnded)
 {
-  start(endpoint_mood::cuts);
+  start(endpoint_behaviour::disconnects);
   EXPECT_EQ(send_and_record_id("/unsafe/1"), 502);
   EXPECT_EQ(field_value("attempt failed", "endpoint"), "i-1");
   EXPECT_EQ(field_value("attempt failed", "status"), "none");
@@ -69,7 +69,7 @@
 
 TEST_F(FailureCauseTest, ATruncatedStreamIsLoggedWithItsLastEventAndTheReason)
 {
-  start(endpoint_mood::streams_and_cuts);
+  start(endpoint_behaviour::streams_then_disconnects);
   EXPECT_EQ(send_and_record_id("/stream/1"), 0);
   EXPECT_EQ(field_value("attempt failed", "events"), "3");
   EXPECT_NE(field_value("attempt failed", "reason"), "");
@@ -78,7 +78,7 @@
 
 TEST_F(FailureCauseTest, AnUnknownKeyIsLoggedWithTheConfigurationInForce)
 {
-  start(endpoint_mood::answers);
+  start(endpoint_behaviour::answers);
   auto message = request_for("GET", "/safe/1", "stranger");
   id_ = std::string(http::find_header(message.fields, "Request-Id"));
   EXPECT_EQ(send(gateways_[0]->options.callers, std::move(message)).status, 401);
--- a/test/relay/gateway_fixture.cc
+++ b/test/relay/gateway_fixture.cc
@@ -70,7 +70,7 @@
 running_gateway& gateway_fixture::start_gateway(fake_store& store)
 {
   const auto number = static_cast<unsigned>(gateways_.size());
-  const auto free = fakes::free_addresses(fakes::own_loopback_host(number), 4);
+  const auto free = fakes::free_addresses(fakes::process_loopback_host(number), 4);
   settings s{.id = daemon_id("d" + std::to_string(gateways_.size())),
              .zone = availability_zone("z"),
              .callers = free[0],
--- a/test/relay/gateway_fixture.h
+++ b/test/relay/gateway_fixture.h
@@ -22,7 +22,7 @@
 
 namespace wisteriaflow::relay {
 
-using fakes::endpoint_mood;
+using fakes::endpoint_behaviour;
 using fakes::fake_endpoint;
 using fakes::fake_store;
 
--- a/test/relay/leaving_answer_test.cc
+++ b/test/relay/leaving_answer_test.cc
@@ -26,7 +26,7 @@
   // Makes the endpoint state that it leaves, and waits until it has answered the first daemon.
   void announce_leaving(fake_endpoint& e)
   {
-    e.statements = {{"Server-Leaving", "1"}};
+    e.extra_headers = {{"Server-Leaving", "1"}};
     const auto before = e.received.size();
     wait_until(
         [&] {
@@ -76,7 +76,7 @@
   auto& failing = add_endpoint("i-2");
   start_fleet(1);
   announce_leaving(leaving);
-  failing.mood = endpoint_mood::fails;
+  failing.behaviour = endpoint_behaviour::fails;
   EXPECT_EQ(send_and_count_received(leaving, *gateways_[0], "/safe/1"), 0U);
 }
 
@@ -86,7 +86,7 @@
   auto& truncating = add_endpoint("i-2");
   start_fleet(1);
   announce_leaving(leaving);
-  truncating.mood = endpoint_mood::streams_and_cuts;
+  truncating.behaviour = endpoint_behaviour::streams_then_disconnects;
   EXPECT_EQ(send_and_count_received(leaving, *gateways_[0], "/resumable/1"), 0U);
 }
 
@@ -119,7 +119,7 @@
   auto& leaving = add_endpoint("i-1");
   add_endpoint("i-2");
   start_fleet(3);
-  store_.away = true;
+  store_.unavailable = true;
   announce_leaving(leaving);
   run_for(1s);
   EXPECT_EQ(send_and_count_received(leaving, *gateways_[1]), 0U);
@@ -142,7 +142,7 @@
   auto& leaving = add_endpoint("i-1");
   start_fleet(1);
   announce_leaving(leaving);
-  leaving.statements.clear();
+  leaving.extra_headers.clear();
   write_endpoint(leaving, "ready", 2'000);
   wait_until([this] { return call("POST", "/unsafe/1").status == 200; },
              "the endpoint is used again");
@@ -152,11 +152,11 @@
 {
   auto& endpoint = add_endpoint("i-1");
   start_fleet(1);
-  endpoint.mood = endpoint_mood::is_another;
-  endpoint.statements = {{"Server-Leaving", "1"}};
+  endpoint.behaviour = endpoint_behaviour::answers_misdirected;
+  endpoint.extra_headers = {{"Server-Leaving", "1"}};
   call("POST", "/unsafe/1");
-  endpoint.mood = endpoint_mood::answers;
-  endpoint.statements.clear();
+  endpoint.behaviour = endpoint_behaviour::answers;
+  endpoint.extra_headers.clear();
   EXPECT_EQ(call("POST", "/unsafe/1").status, 200);
 }
 
@@ -165,7 +165,7 @@
   auto& endpoint = add_endpoint("i-1");
   start_fleet(1);
   for (const char* text : {"0", "", "perhaps", "-1"}) {
-    endpoint.statements = {{"Server-Leaving", text}};
+    endpoint.extra_headers = {{"Server-Leaving", text}};
     EXPECT_EQ(call("POST", "/unsafe/1").status, 200) << text;
     EXPECT_EQ(call("POST", "/unsafe/1").status, 200) << text;
   }
--- a/test/relay/start_test.cc
+++ b/test/relay/start_test.cc
@@ -27,7 +27,7 @@
 {
   add_endpoint("i-1");
   auto& draining = add_endpoint("i-2");
-  store_.freeze_stale_lists();
+  store_.snapshot_for_stale_lists();
   write_endpoint(draining, "draining");
   start_gateway(store_);
   wait_until_ready();
@@ -36,7 +36,7 @@
 
 TEST_F(StartTest, UsesAnEndpointAddedAfterAStaleList)
 {
-  store_.freeze_stale_lists();
+  store_.snapshot_for_stale_lists();
   auto& newer = add_endpoint("i-1");
   start_gateway(store_);
   wait_until_ready();
@@ -48,7 +48,7 @@
 {
   add_endpoint("i-1");
   auto& draining = add_endpoint("i-2");
-  store_.freeze_stale_lists();
+  store_.snapshot_for_stale_lists();
   store_.page_size = 100;
   constexpr int other_changes = 250;
   for (int i = 0; i < other_changes; ++i) {
@@ -76,7 +76,7 @@
   // Every page is read once, plus one call for each refusal. If each refusal restarted the list, it
   // would never be complete.
   const auto refused = std::count(store_.refused_lists.begin(), store_.refused_lists.end(), true);
-  EXPECT_LE(store_.lists, endpoints + 6 + static_cast<std::size_t>(refused));
+  EXPECT_LE(store_.list_calls, endpoints + 6 + static_cast<std::size_t>(refused));
 }
 
 } // namespace
--- a/test/system/caller.cc
+++ b/test/system/caller.cc
@@ -21,46 +21,49 @@
 namespace asio = boost::asio;
 namespace json = boost::json;
 
-constexpr std::chrono::seconds call_limit{120};
+constexpr std::chrono::seconds call_timeout{120};
 constexpr int status_see_other = 303;
-constexpr int moves_limit = 10;
+constexpr int max_redirects = 10;
 constexpr std::string_view scheme = "http://";
 
 asio::awaitable<void> exchange_once(http::client& client, http::socket_address to,
                                     http::request message, http::stream_observer observer,
                                     reply& out)
 {
-  const auto deadline = std::chrono::steady_clock::now() + call_limit;
+  const auto deadline = std::chrono::steady_clock::now() + call_timeout;
   try {
     co_await client.stream(to, message, deadline, observer);
-    out.sent = true;
-    out.whole = true;
+    out.connected = true;
+    out.is_complete = true;
   } catch (const http::connect_error&) {
-    out.sent = false;
+    out.connected = false;
   } catch (const http::http_error&) {
-    out.sent = true;
+    out.connected = true;
   }
 }
 
-// Takes whole SSE events out of the bytes that arrive.
-class event_reader {
+// Parses complete server-sent events from the bytes received and adds them to a streamed_answer.
+class sse_reader {
  public:
-  event_reader(streamed_answer& out, std::atomic<int>* seen) : out_(out), seen_(seen) {}
+  sse_reader(streamed_answer& out, std::atomic<int>* token_count)
+      : out_(out), token_counter_(token_count)
+  {
+  }
 
-  void take(std::string_view bytes)
+  void feed(std::string_view bytes)
   {
-    held_ += bytes;
-    for (auto end = held_.find("\n\n"); end != std::string::npos; end = held_.find("\n\n")) {
-      on_event(held_.substr(0, end));
-      held_.erase(0, end + 2);
+    buffer_ += bytes;
+    for (auto end = buffer_.find("\n\n"); end != std::string::npos; end = buffer_.find("\n\n")) {
+      handle_event(buffer_.substr(0, end));
+      buffer_.erase(0, end + 2);
     }
   }
 
-  void reset() { held_.clear(); }
+  void reset() { buffer_.clear(); }
   [[nodiscard]] std::string take_location() { return std::exchange(location_, {}); }
 
  private:
-  static std::string field_of(const std::string& event, const std::string& name)
+  static std::string sse_field(const std::string& event, const std::string& name)
   {
     const auto start = ("\n" + event).find("\n" + name + ": ");
     if (start == std::string::npos) {
@@ -70,41 +73,42 @@
     return event.substr(value, event.find('\n', value) - value);
   }
 
-  void on_event(const std::string& event)
+  void handle_event(const std::string& event)
   {
-    const auto kind = field_of(event, "event");
-    const auto data = field_of(event, "data");
+    const auto kind = sse_field(event, "event");
+    const auto data = sse_field(event, "data");
     if (kind == "moved") {
       location_ = json::value_to<std::string>(json::parse(data).at("location"));
     } else if (kind == "error") {
       out_.error = data;
     } else if (data == "[DONE]") {
       out_.done = true;
-    } else if (const auto id = field_of(event, "id"); !id.empty()) {
+    } else if (const auto id = sse_field(event, "id"); !id.empty()) {
       out_.in_order = out_.in_order && std::stoull(id) == out_.tokens;
       out_.text +=
           json::value_to<std::string>(json::parse(data).at("choices").as_array().at(0).at("text"));
       ++out_.tokens;
-      if (seen_ != nullptr) {
-        ++*seen_;
+      if (token_counter_ != nullptr) {
+        ++*token_counter_;
       }
     }
   }
 
   streamed_answer& out_;
-  std::atomic<int>* seen_;
-  std::string held_;
+  std::atomic<int>* token_counter_;
+  std::string buffer_;
   std::string location_;
 };
 
-// GET of an absolute "http://ADDRESS/PATH" with the caller's workspace.
+// Returns the ADDRESS of "http://ADDRESS/PATH".
 std::string address_of(const std::string& location)
 {
   const auto end = location.find('/', scheme.size());
   return location.substr(scheme.size(), end - scheme.size());
 }
 
-http::request get_of(const std::string& location, const http::request& first)
+// Returns a GET of "http://ADDRESS/PATH" with the workspace of the `first` request.
+http::request follow_up_request(const std::string& location, const http::request& first)
 {
   http::request out{.target = location.substr(location.find('/', scheme.size()))};
   const auto workspace = http::find_header(first.fields, "Wisteriaflow-Workspace");
@@ -145,20 +149,20 @@
 }
 
 streamed_answer follow_stream(const std::string& address, const http::request& message,
-                              std::atomic<int>* seen)
+                              std::atomic<int>* token_count)
 {
   streamed_answer out;
-  event_reader reader(out, seen);
+  sse_reader reader(out, token_count);
   auto to = address;
   auto next = message;
-  for (int i = 0; i < moves_limit; ++i) {
-    const auto got = call(to, next, [&](std::string_view bytes) { reader.take(bytes); });
+  for (int i = 0; i < max_redirects; ++i) {
+    const auto got = call(to, next, [&](std::string_view bytes) { reader.feed(bytes); });
     auto location = reader.take_location();
     if (got.status == status_see_other) {
       location = http::find_header(got.fields, "Location");
     }
     if (location.empty()) {
-      out.cut = !got.whole;
+      out.truncated = !got.is_complete;
       const auto kind = http::find_header(got.fields, "Content-Type");
       if (kind.find("event-stream") == std::string_view::npos) {
         out.outcome = got.outcome();
@@ -166,25 +170,25 @@
       }
       return out;
     }
-    ++out.moves;
+    ++out.redirects;
     reader.reset();
     to = address_of(location);
-    next = get_of(location, message);
+    next = follow_up_request(location, message);
     next.fields.push_back({.name = "Accept", .value = "text/event-stream"});
     if (out.tokens > 0) {
       next.fields.push_back({.name = "Last-Event-ID", .value = std::to_string(out.tokens - 1)});
     }
   }
-  out.error = "moved too often";
+  out.error = "too many redirects";
   return out;
 }
 
-reply call_following(const std::string& address, const http::request& message)
+reply call_following_redirects(const std::string& address, const http::request& message)
 {
   auto got = call(address, message);
-  for (int i = 0; i < moves_limit && got.status == status_see_other; ++i) {
+  for (int i = 0; i < max_redirects && got.status == status_see_other; ++i) {
     const std::string location(http::find_header(got.fields, "Location"));
-    got = call(address_of(location), get_of(location, message));
+    got = call(address_of(location), follow_up_request(location, message));
   }
   return got;
 }
--- a/test/system/caller.h
+++ b/test/system/caller.h
@@ -1,4 +1,8 @@
-// A caller of the fleet, as customers write it: blocking HTTP, streams followed by plain HTTP.
+// A blocking HTTP client of the fleet, as a customer might write it. It follows a stream that moves
+// to another daemon by plain HTTP.
+//
+//   const auto answer = follow_stream(f.address_of("d1"), completion_request({.max_tokens = 10}));
+//   answer.done; // the stream ended with [DONE]
 
 #ifndef WISTERIAFLOW_TEST_SYSTEM_CALLER_H_
 #define WISTERIAFLOW_TEST_SYSTEM_CALLER_H_
@@ -14,44 +18,47 @@
 
 namespace wisteriaflow::system_tests {
 
-// What came back of one HTTP exchange.
+// The result of one HTTP exchange.
 struct reply {
-  bool sent = false;  // whether the connection was opened
-  bool whole = false; // whether the response ended as it should
+  bool connected = false;   // the connection was opened
+  bool is_complete = false; // the response was received to its end
   int status = 0;
   http::headers fields;
   std::string body;
 
-  // The header Wisteriaflow-Outcome; "none" without one.
+  // Returns the header Wisteriaflow-Outcome; "none" without it.
   [[nodiscard]] std::string outcome() const;
 };
 
-// Sends `message` and waits for the whole response. `on_bytes`, if set, sees the body arrive.
+// Sends `message` and waits for the complete response, at most 120 s. `on_bytes`, if set, is called
+// with each part of the body as it arrives.
 [[nodiscard]] reply call(const std::string& address, const http::request& message,
                          const std::function<void(std::string_view)>& on_bytes = {});
 
-// A stream put together from all the exchanges it took.
+// A streamed answer, assembled from all exchanges that it took.
 struct streamed_answer {
   std::string text;
   std::size_t tokens = 0;
-  bool in_order = true; // every token's offset was the next one
-  bool done = false;    // [DONE] came
-  bool cut = false;     // an exchange broke off without a last event
-  int moves = 0;        // redirections followed
-  std::string error;    // the data of `event: error`, or the body of a refusal
-  std::string outcome;  // of a response that was no stream
+  bool in_order = true;   // each token had the offset that follows the last one
+  bool done = false;      // [DONE] was received
+  bool truncated = false; // the last exchange ended before its response was complete
+  int redirects = 0;      // redirects followed: `event: moved` and 303
+  // The data of `event: error`, the body of a response that is no stream, or "too many redirects".
+  std::string error;
+  std::string outcome; // reply::outcome() of a response that is no stream
 };
 
-// Sends a streamed request and follows `event: moved` and 303 with Last-Event-ID. `seen`, if not
-// null, counts the tokens as they arrive.
+// Sends a streamed request and follows `event: moved` and 303, up to ten times, with
+// Last-Event-ID. `token_count`, if not null, is incremented for each token as it arrives.
 [[nodiscard]] streamed_answer follow_stream(const std::string& address,
                                             const http::request& message,
-                                            std::atomic<int>* seen = nullptr);
+                                            std::atomic<int>* token_count = nullptr);
 
-// Sends a request and follows 303, up to a few times.
-[[nodiscard]] reply call_following(const std::string& address, const http::request& message);
+// Sends a request and follows 303, up to ten times.
+[[nodiscard]] reply call_following_redirects(const std::string& address,
+                                             const http::request& message);
 
-// A version 7 UUID, made now.
+// Returns a new idempotency key: a version 7 UUID with the present time.
 [[nodiscard]] std::string make_key();
 
 } // namespace wisteriaflow::system_tests
--- a/test/system/configuration_test.cc
+++ b/test/system/configuration_test.cc
@@ -1,4 +1,5 @@
-// An accepted configuration comes into force on every daemon and never reverts.
+// Tests that an accepted configuration takes effect on every daemon and never reverts, also during
+// faults of the store, restarts and pauses of a daemon.
 
 #include <algorithm>
 
@@ -22,14 +23,15 @@
 
   static http::request request_of(const std::string& name)
   {
-    auto out = completion({.max_tokens = 2});
+    auto out = completion_request({.max_tokens = 2});
     for (auto& field : out.fields) {
       field.value = field.name == "Wisteriaflow-Workspace" ? name : field.value;
     }
     return out;
   }
 
-  // Whether `daemon` serves the workspace `name`: what it does, not what it says.
+  // Returns whether `daemon` answers a request of the workspace `name`. This checks the behaviour
+  // of the daemon, not the configuration that it reports.
   bool serves(const std::string& daemon, const std::string& name)
   {
     return call(f.address_of(daemon), request_of(name)).status == 200;
@@ -42,7 +44,7 @@
     }
   }
 
-  // Asks for a while, as a reversion need not come at once.
+  // Checks 30 times, 50 ms apart, because a reversion may come late.
   void expect_stays_in_force(const std::string& name)
   {
     for (int i = 0; i < 30; ++i) {
@@ -72,7 +74,7 @@
 {
   EXPECT_EQ(f.create("declarations", workspace("hotel-2")).status, 201);
   expect_in_force_everywhere("hotel-2");
-  f.object_api_faults(R"({"outage":"refuse"})");
+  f.set_object_api_faults(R"({"outage":"refuse"})");
   restart("d1");
   expect_in_force_everywhere("hotel-2");
   expect_stays_in_force("hotel-2");
@@ -80,11 +82,12 @@
 
 TEST_F(ConfigurationTest, DoesNotRevertWhenReadsAreStale)
 {
-  f.object_api_faults(R"({"stale_for_ms":4000})");
+  f.set_object_api_faults(R"({"stale_for_ms":4000})");
   EXPECT_EQ(f.create("declarations", workspace("hotel-2")).status, 201);
   expect_in_force_everywhere("hotel-2");
   restart("d1");
-  // Until it is ready it may refuse, but must not say that there is no such workspace.
+  // The daemon may refuse the request until it is ready, but must not answer 404 (no such
+  // workspace).
   EXPECT_TRUE(eventually([&] {
     const auto got = call(f.address_of("d1"), request_of("hotel-2"));
     EXPECT_NE(got.status, 404) << "served an old configuration";
@@ -93,15 +96,15 @@
   expect_stays_in_force("hotel-2");
 }
 
-TEST_F(ConfigurationTest, ComesIntoForceThoughWatchesLoseTheChange)
+TEST_F(ConfigurationTest, ComesIntoForceEvenIfWatchesLoseTheChange)
 {
-  f.object_api_faults(R"({"drop_events":1})");
+  f.set_object_api_faults(R"({"drop_events":1})");
   EXPECT_EQ(f.create("declarations", workspace("hotel-2")).status, 201);
   expect_in_force_everywhere("hotel-2");
   expect_stays_in_force("hotel-2");
 }
 
-TEST_F(ConfigurationTest, DoesNotRevertWhenADaemonWakesFromALongPause)
+TEST_F(ConfigurationTest, DoesNotRevertWhenADaemonResumesAfterALongPause)
 {
   f.signal("d1", SIGSTOP);
   EXPECT_EQ(f.create("declarations", workspace("hotel-2")).status, 201);
@@ -112,7 +115,7 @@
   expect_stays_in_force("hotel-2");
 }
 
-TEST_F(ConfigurationTest, OfTwoRacingOperatorsOneWinsEverywhereAndTheOtherIsTold)
+TEST_F(ConfigurationTest, OfTwoConcurrentUpdatesOneWinsEverywhereAndTheOtherGetsAConflict)
 {
   EXPECT_EQ(f.create("declarations", workspace("hotel-2")).status, 201);
   auto mine = f.get_object("declarations", "hotel-2");
@@ -121,7 +124,7 @@
   theirs.at("metadata").as_object()["labels"] = {{"tier", "staff"}};
   EXPECT_EQ(f.replace("declarations", "hotel-2", mine).status, 200);
   EXPECT_EQ(f.replace("declarations", "hotel-2", theirs).status, 409);
-  expect_in_force_everywhere("hotel-2"); // "staff" would be selected by no intent
+  expect_in_force_everywhere("hotel-2"); // no intent selects "staff"
   expect_stays_in_force("hotel-2");
 }
 
--- a/test/system/drain_test.cc
+++ b/test/system/drain_test.cc
@@ -1,4 +1,4 @@
-// A daemon that leaves cuts off no request: callers go on at a peer by plain HTTP.
+// Tests that a draining daemon interrupts no request: callers continue at a peer by plain HTTP.
 
 #include <vector>
 
@@ -14,11 +14,11 @@
     return {.prompt = prompt, .max_tokens = 250};
   }
 
-  // Sends SIGTERM and waits for the daemon's end.
+  // Sends SIGTERM and waits until the daemon has exited.
   void drain(const std::string& id)
   {
     f.signal(id, SIGTERM);
-    EXPECT_TRUE(f.at(id).running->await_end()) << id << " did not end with 0";
+    EXPECT_TRUE(f.at(id).running->await_exit()) << id << " did not exit with status 0";
   }
 };
 
@@ -28,16 +28,17 @@
   const auto stream = start_stream("d1", options);
   drain("d1");
   const auto got = stream->answer.get();
-  expect_whole(got, options);
-  EXPECT_GE(got.moves, 1);
+  expect_complete(got, options);
+  EXPECT_GE(got.redirects, 1);
 }
 
 TEST_F(DrainTest, PlainAnswerIsFetchedFromAPeerWhenItsDaemonIsTerminated)
 {
   auto options = long_answer("where is the pool");
   options.stream = false;
-  auto answer = std::async(std::launch::async,
-                           [&] { return call_following(f.address_of("d1"), completion(options)); });
+  auto answer = std::async(std::launch::async, [&] {
+    return call_following_redirects(f.address_of("d1"), completion_request(options));
+  });
   EXPECT_TRUE(eventually([&] { return !busy_engine().empty(); }));
   drain("d1");
   const auto got = answer.get();
@@ -45,33 +46,33 @@
   EXPECT_NE(got.body.find(expected_text(options)), std::string::npos) << got.body;
 }
 
-TEST_F(DrainTest, StreamGoesOnWhenTheReceivingPeerLeavesToo)
+TEST_F(DrainTest, StreamGoesOnWhenTheReceivingPeerDrainsToo)
 {
   const auto options = long_answer("a towel, please");
   const auto stream = start_stream("d1", options);
   f.signal("d1", SIGTERM);
   f.signal("d2", SIGTERM);
   const auto got = stream->answer.get();
-  expect_whole(got, options);
+  expect_complete(got, options);
 }
 
-TEST_F(DrainTest, StreamGoesOnWhenThePeerThatGotItIsTerminated)
+TEST_F(DrainTest, StreamGoesOnWhenThePeerThatTookItOverIsTerminated)
 {
   const auto options = long_answer("a second towel, please");
   const auto stream = start_stream("d1", options);
   drain("d1");
   const auto holder = f.metric("d2", "wisteriaflow_requests_in_flight") > 0 ? "d2" : "d3";
   drain(holder);
-  expect_whole(stream->answer.get(), options);
+  expect_complete(stream->answer.get(), options);
 }
 
-TEST_F(DrainTest, RollingRestartCutsOffNoStream)
+TEST_F(DrainTest, RollingRestartInterruptsNoStream)
 {
-  std::vector<completion_options> asked;
+  std::vector<completion_options> requests;
   std::vector<std::unique_ptr<running_stream>> streams;
   for (int i = 0; i < 9; ++i) {
-    asked.push_back(long_answer("room " + std::to_string(i)));
-    streams.push_back(start_stream(f.daemons().at(i % 3), asked.back()));
+    requests.push_back(long_answer("room " + std::to_string(i)));
+    streams.push_back(start_stream(f.daemons().at(i % 3), requests.back()));
   }
   for (const auto& id : f.daemons()) {
     const auto zone = f.at(id).zone;
@@ -80,7 +81,7 @@
     f.await_ready(endpoints);
   }
   for (std::size_t i = 0; i < streams.size(); ++i) {
-    expect_whole(streams[i]->answer.get(), asked[i]);
+    expect_complete(streams[i]->answer.get(), requests[i]);
   }
 }
 
@@ -106,7 +107,7 @@
   EXPECT_EQ(f.runs_of(key), 1);
 }
 
-TEST_F(DrainTest, ALeavingDaemonDoesNotCallAKeyNotRunThatRanElsewhere)
+TEST_F(DrainTest, ADrainingDaemonDoesNotReportNotRunForAKeyThatRanElsewhere)
 {
   const auto key = make_key();
   EXPECT_EQ(send_delivery("d1", key).get().outcome(), "answered");
@@ -124,9 +125,9 @@
 {
   const auto options = long_answer("a third towel, please");
   const auto stream = start_stream("d1", options);
-  f.notice("d1", 5'000);
-  EXPECT_TRUE(f.at("d1").running->await_end());
-  expect_whole(stream->answer.get(), options);
+  f.send_reclaim_notice("d1", 5'000);
+  EXPECT_TRUE(f.at("d1").running->await_exit());
+  expect_complete(stream->answer.get(), options);
 }
 
 } // namespace
--- a/test/system/eventually.h
+++ b/test/system/eventually.h
@@ -1,4 +1,4 @@
-// Waits for what other processes do.
+// Polling for conditions that other processes bring about.
 
 #ifndef WISTERIAFLOW_TEST_SYSTEM_EVENTUALLY_H_
 #define WISTERIAFLOW_TEST_SYSTEM_EVENTUALLY_H_
@@ -8,12 +8,13 @@
 
 namespace wisteriaflow::system_tests {
 
-// Long enough that only a fault reaches it.
-constexpr std::chrono::seconds patience{30};
+// Passes only if the code under test is at fault.
+constexpr std::chrono::seconds default_timeout{30};
 
-// Asks `holds` until it returns true, or `limit` has passed; returns whether it did.
+// Calls `holds` every 10 ms until it returns true or `limit` has passed; returns whether it
+// returned true.
 template <typename predicate>
-bool eventually(predicate holds, std::chrono::milliseconds limit = patience)
+bool eventually(predicate holds, std::chrono::milliseconds limit = default_timeout)
 {
   constexpr std::chrono::milliseconds pause{10};
   const auto end = std::chrono::steady_clock::now() + limit;
--- a/test/system/fleet.cc
+++ b/test/system/fleet.cc
@@ -27,16 +27,16 @@
   return std::string(WISTERIAFLOW_BINARY_DIR) + "/" + name;
 }
 
-http::request post_of(const std::string& target, const std::string& body)
+http::request json_post(const std::string& target, const std::string& body)
 {
   http::request out{.method = "POST", .target = target, .body = body};
   out.fields.push_back({.name = "Content-Type", .value = "application/json"});
   return out;
 }
 
-// Short periods, so that failures are noticed within a test's time.
-std::string settings_text(const node& n, const std::string& store, const std::string& cloud,
-                          const std::string& seeds)
+// The periods and timeouts are short, so that failures are detected within the time of a test.
+std::string daemon_settings(const node& n, const std::string& store, const std::string& cloud,
+                            const std::string& seeds)
 {
   return "[daemon]\nid = " + n.id + "\navailability_zone = " + n.zone +
          "\n[callers]\nlisten = 127.0.0.1:0\n[peers]\nlisten = 127.0.0.1:0\nseeds = " + seeds +
@@ -76,13 +76,13 @@
       .count();
 }
 
-http::request completion(const completion_options& options)
+http::request completion_request(const completion_options& options)
 {
   const json::object body{{"model", model},
                           {"prompt", options.prompt},
                           {"max_tokens", options.max_tokens},
                           {"stream", options.stream}};
-  auto out = post_of("/v1/completions", json::serialize(body));
+  auto out = json_post("/v1/completions", json::serialize(body));
   out.fields.push_back({.name = "Wisteriaflow-Workspace", .value = "hotel"});
   if (!options.key.empty()) {
     out.fields.push_back({.name = "Idempotency-Key", .value = options.key});
@@ -93,9 +93,9 @@
   return out;
 }
 
-http::request delivery(const std::string& key, const std::string& path)
+http::request delivery_request(const std::string& key, const std::string& path)
 {
-  auto out = post_of("/services/deliveries" + path, R"({"room":"412"})");
+  auto out = json_post("/services/deliveries" + path, R"({"room":"412"})");
   out.fields.push_back({.name = "Wisteriaflow-Workspace", .value = "hotel"});
   out.fields.push_back({.name = "Idempotency-Key", .value = key});
   return out;
@@ -110,11 +110,11 @@
 {
   auto pattern = (std::filesystem::temp_directory_path() / "wisteriaflow-XXXXXX").string();
   if (mkdtemp(pattern.data()) == nullptr) {
-    throw std::runtime_error("no directory for the fleet");
+    throw std::runtime_error("cannot create a temporary directory for the fleet");
   }
   directory_ = pattern;
-  start(std::string(object_api), "", {program("fake_object_api")});
-  start(std::string(cloud_api), "", {program("fake_cloud_api")});
+  start_program(std::string(object_api), "", {program("fake_object_api")});
+  start_program(std::string(cloud_api), "", {program("fake_cloud_api")});
 }
 
 fleet::~fleet()
@@ -124,8 +124,8 @@
   std::filesystem::remove_all(directory_, ec);
 }
 
-node& fleet::start(const std::string& id, const std::string& zone,
-                   const std::vector<std::string>& arguments)
+node& fleet::start_program(const std::string& id, const std::string& zone,
+                           const std::vector<std::string>& arguments)
 {
   auto fresh = std::make_unique<node>();
   fresh->id = id;
@@ -139,21 +139,21 @@
 
 node& fleet::start_engine(const engine_options& options)
 {
-  auto& n = start(options.id, options.zone,
-                  {program("fake_model_engine"),
-                   "--token_interval_ms=" + std::to_string(options.token_interval_ms)});
-  list_instance(n, "engine");
+  auto& n = start_program(options.id, options.zone,
+                          {program("fake_model_engine"),
+                           "--token_interval_ms=" + std::to_string(options.token_interval_ms)});
+  register_instance(n, "engine");
   return n;
 }
 
 node& fleet::start_service(const std::string& id, const std::string& zone)
 {
-  auto& n = start(id, zone, {program("fake_plain_service")});
-  list_instance(n, "service");
+  auto& n = start_program(id, zone, {program("fake_plain_service")});
+  register_instance(n, "service");
   return n;
 }
 
-void fleet::list_instance(const node& n, const std::string& role)
+void fleet::register_instance(const node& n, const std::string& role)
 {
   const json::object instance{{"id", n.id},
                               {"address", n.address},
@@ -172,7 +172,7 @@
 node& fleet::start_daemon(const std::string& id, const std::string& zone)
 {
   std::string seeds;
-  for (const auto& [peer, address] : peers_) {
+  for (const auto& [peer, address] : peer_addresses_) {
     if (peer != id) {
       seeds += (seeds.empty() ? "" : ",") + address;
     }
@@ -181,14 +181,14 @@
   fresh->id = id;
   fresh->zone = zone;
   const auto path = directory_ + "/" + id + ".ini";
-  std::ofstream(path) << settings_text(*fresh, address_of(std::string(object_api)),
-                                       address_of(std::string(cloud_api)), seeds);
+  std::ofstream(path) << daemon_settings(*fresh, address_of(std::string(object_api)),
+                                         address_of(std::string(cloud_api)), seeds);
   fresh->running = std::make_unique<process>(
       std::vector<std::string>{program("wisteriaflowd"), "--config=" + path},
       directory_ + "/" + id + ".log");
   std::istringstream line(fresh->running->await_line("callers "));
   std::string word;
-  line >> word >> fresh->address >> word >> peers_[id];
+  line >> word >> fresh->address >> word >> peer_addresses_[id];
   nodes_[id] = std::move(fresh);
   if (std::find(daemons_.begin(), daemons_.end(), id) == daemons_.end()) {
     daemons_.push_back(id);
@@ -203,7 +203,7 @@
   return former;
 }
 
-void fleet::declare()
+void fleet::create_declarations()
 {
   const auto all = declarations();
   for (const auto& each : all.as_array()) {
@@ -238,29 +238,29 @@
 
 void fleet::post(const std::string& address, const std::string& target, const std::string& body)
 {
-  const auto got = call(address, post_of(target, body));
+  const auto got = call(address, json_post(target, body));
   if (got.status != 200) {
     throw std::runtime_error(target + " gave " + std::to_string(got.status));
   }
 }
 
-void fleet::object_api_faults(const std::string& text)
+void fleet::set_object_api_faults(const std::string& text)
 {
   post(address_of(std::string(object_api)), "/_fake/faults", text);
 }
 
-void fleet::cloud_settings(const std::string& text)
+void fleet::set_cloud_api_settings(const std::string& text)
 {
   post(address_of(std::string(cloud_api)), "/_fake/settings", text);
 }
 
-void fleet::notice(const std::string& instance, int reclaim_in_ms)
+void fleet::send_reclaim_notice(const std::string& instance, int reclaim_in_ms)
 {
   const json::object body{{"instance_id", instance}, {"reclaim_in_ms", reclaim_in_ms}};
   post(address_of(std::string(cloud_api)), "/_fake/notice", json::serialize(body));
 }
 
-void fleet::zone_notice(const std::string& zone, int reclaim_in_ms)
+void fleet::send_zone_reclaim_notice(const std::string& zone, int reclaim_in_ms)
 {
   const json::object body{{"availability_zone", zone}, {"reclaim_in_ms", reclaim_in_ms}};
   post(address_of(std::string(cloud_api)), "/_fake/notice", json::serialize(body));
@@ -269,12 +269,12 @@
 reply fleet::create(const std::string& plural, const json::value& object)
 {
   return call(address_of(std::string(object_api)),
-              post_of(std::string(api_root) + plural, json::serialize(object)));
+              json_post(std::string(api_root) + plural, json::serialize(object)));
 }
 
 reply fleet::replace(const std::string& plural, const std::string& name, const json::value& object)
 {
-  auto message = post_of(std::string(api_root) + plural + "/" + name, json::serialize(object));
+  auto message = json_post(std::string(api_root) + plural + "/" + name, json::serialize(object));
   message.method = "PUT";
   return call(address_of(std::string(object_api)), message);
 }
@@ -291,29 +291,29 @@
   const auto got = call(address_of(id), {.target = "/_fake/stats"});
   boost::system::error_code ec;
   auto out = json::parse(got.body, ec);
-  return got.whole && !ec ? out : json::value(json::object());
+  return got.is_complete && !ec ? out : json::value(json::object());
 }
 
-void fleet::keep_runs_of(const std::string& id)
+void fleet::retire_endpoint(const std::string& id)
 {
-  for (const auto& [key, n] : runs_at(id)) {
-    kept_runs_[key] += n;
+  for (const auto& [key, n] : runs_at_endpoint(id)) {
+    retired_runs_[key] += n;
   }
   std::erase(endpoints_, id);
 }
 
-std::map<std::string, std::int64_t> fleet::all_runs()
+std::map<std::string, std::int64_t> fleet::runs_by_key()
 {
-  auto out = kept_runs_;
+  auto out = retired_runs_;
   for (const auto& id : endpoints_) {
-    for (const auto& [key, n] : runs_at(id)) {
+    for (const auto& [key, n] : runs_at_endpoint(id)) {
       out[key] += n;
     }
   }
   return out;
 }
 
-std::map<std::string, std::int64_t> fleet::runs_at(const std::string& id)
+std::map<std::string, std::int64_t> fleet::runs_at_endpoint(const std::string& id)
 {
   const auto stats = stats_of(id);
   const auto* runs = stats.as_object().if_contains("runs");
@@ -323,7 +323,7 @@
 
 std::int64_t fleet::runs_of(const std::string& key)
 {
-  const auto all = all_runs();
+  const auto all = runs_by_key();
   const auto it = all.find(key);
   return it == all.end() ? 0 : it->second;
 }
--- a/test/system/fleet_fixture.h
+++ b/test/system/fleet_fixture.h
@@ -1,4 +1,5 @@
-// A fleet of three daemons in two availability zones with three engines and a plain service.
+// Test fixture: a fleet of three daemons in two availability zones, with three engines and a plain
+// service.
 
 #ifndef WISTERIAFLOW_TEST_SYSTEM_FLEET_FIXTURE_H_
 #define WISTERIAFLOW_TEST_SYSTEM_FLEET_FIXTURE_H_
@@ -23,62 +24,64 @@
     f.start_engine({.id = "engine-b", .zone = "zone-b", .token_interval_ms = token_interval_ms});
     f.start_engine({.id = "engine-c", .zone = "zone-b", .token_interval_ms = token_interval_ms});
     f.start_service("desk", "zone-a");
-    f.declare();
+    f.create_declarations();
     f.start_daemon("d1", "zone-a");
     f.start_daemon("d2", "zone-a");
     f.start_daemon("d3", "zone-b");
     f.await_ready(endpoints);
   }
 
-  // A stream that runs while the test goes on.
+  // A stream that is read on a thread of its own while the test continues.
   struct running_stream {
-    std::atomic<int> seen{0};
+    std::atomic<int> received_tokens{0};
     std::future<streamed_answer> answer;
   };
 
-  // Starts a stream and waits until a few of its tokens are there.
+  // Starts a stream and waits until three of its tokens have been received.
   std::unique_ptr<running_stream> start_stream(const std::string& daemon,
                                                const completion_options& options)
   {
     auto out = std::make_unique<running_stream>();
     out->answer = std::async(std::launch::async, [this, daemon, options, s = out.get()] {
-      return follow_stream(f.address_of(daemon), completion(options), &s->seen);
+      return follow_stream(f.address_of(daemon), completion_request(options), &s->received_tokens);
     });
-    const bool begun = eventually([&] { return out->seen >= 3; });
-    EXPECT_TRUE(begun) << "the stream at " << daemon << " did not begin";
+    const bool started = eventually([&] { return out->received_tokens >= 3; });
+    EXPECT_TRUE(started) << "the stream at " << daemon << " did not start";
     return out;
   }
 
-  static void expect_whole(const streamed_answer& got, const completion_options& options)
+  // Expects that the stream has all its tokens once, in order, and its regular end.
+  static void expect_complete(const streamed_answer& got, const completion_options& options)
   {
     EXPECT_EQ(got.text, expected_text(options));
     EXPECT_TRUE(got.in_order) << "tokens repeated or missing, got " << got.tokens;
     EXPECT_TRUE(got.done) << "no [DONE]; error: " << got.error;
-    EXPECT_FALSE(got.cut) << "cut after " << got.tokens << " tokens";
+    EXPECT_FALSE(got.truncated) << "truncated after " << got.tokens << " tokens";
   }
 
-  // The engine that runs a request now; empty if none does.
+  // Returns the id of an engine that runs a request now; empty if none does.
   std::string busy_engine()
   {
     for (const auto* id : {"engine-a", "engine-b", "engine-c"}) {
       const auto got = call(f.address_of(id), {.target = "/load"});
-      if (got.body.find("\"running\":0") == std::string::npos && got.whole) {
+      if (got.body.find("\"running\":0") == std::string::npos && got.is_complete) {
         return id;
       }
     }
     return {};
   }
 
-  // Sends a non-idempotent delivery on a thread of its own.
+  // Sends a non-idempotent request to the plain service on a thread of its own.
   std::future<reply> send_delivery(const std::string& daemon, const std::string& key,
                                    const std::string& path = "/confirm")
   {
     const auto address = f.address_of(daemon);
-    return std::async(std::launch::async,
-                      [=] { return call_following(address, delivery(key, path)); });
+    return std::async(std::launch::async, [=] {
+      return call_following_redirects(address, delivery_request(key, path));
+    });
   }
 
-  // Waits until the service has begun to run `key`.
+  // Waits until the service has started to run the request with `key`.
   void await_run(const std::string& key)
   {
     EXPECT_TRUE(eventually([&] { return f.runs_of(key) > 0; })) << key << " was not run";
--- a/test/system/non_idempotent_test.cc
+++ b/test/system/non_idempotent_test.cc
@@ -1,4 +1,5 @@
-// A non-idempotent request runs at most once, and "not run" is never said of one that ran.
+// Tests that a non-idempotent request runs at most once, and that "not run" is never reported for
+// one that has run.
 
 #include <thread>
 #include <vector>
@@ -10,8 +11,8 @@
 
 using NonIdempotentTest = fleet_fixture;
 
-// Longer than a silent daemon stays a member.
-constexpr std::chrono::milliseconds past_everything{4'000};
+// Longer than a silent daemon remains a member of the fleet.
+constexpr std::chrono::milliseconds past_member_timeout{4'000};
 
 TEST_F(NonIdempotentTest, RunsOnceWhenRepeatedAtAnotherDaemon)
 {
@@ -42,9 +43,9 @@
 TEST_F(NonIdempotentTest, GenerationRunsOnceWhenRepeatedAtAnotherDaemon)
 {
   const completion_options options{.idempotent = false, .key = make_key()};
-  const auto first = follow_stream(f.address_of("d1"), completion(options));
-  const auto second = follow_stream(f.address_of("d3"), completion(options));
-  expect_whole(first, options);
+  const auto first = follow_stream(f.address_of("d1"), completion_request(options));
+  const auto second = follow_stream(f.address_of("d3"), completion_request(options));
+  expect_complete(first, options);
   EXPECT_EQ(second.text, first.text) << second.error;
   EXPECT_EQ(f.runs_of(options.key), 1);
 }
@@ -55,22 +56,22 @@
   auto lost = send_delivery("d1", key, "/slow");
   await_run(key);
   f.kill("d1");
-  EXPECT_FALSE(lost.get().whole);
+  EXPECT_FALSE(lost.get().is_complete);
   const auto at_once = send_delivery("d2", key, "/slow").get();
   EXPECT_NE(at_once.outcome(), "refused-not-run") << at_once.body;
-  std::this_thread::sleep_for(past_everything);
+  std::this_thread::sleep_for(past_member_timeout);
   const auto later = send_delivery("d3", key, "/slow").get();
   EXPECT_EQ(later.outcome(), "outcome-unknown") << later.status << " " << later.body;
   EXPECT_EQ(f.runs_of(key), 1);
 }
 
-TEST_F(NonIdempotentTest, IsNotRunAgainWhenItsExecutorIsPausedPastEverything)
+TEST_F(NonIdempotentTest, IsNotRunAgainWhenItsExecutorIsPausedPastTheMemberTimeout)
 {
   const auto key = make_key();
   auto first = send_delivery("d1", key, "/slow");
   await_run(key);
   f.signal("d1", SIGSTOP);
-  std::this_thread::sleep_for(past_everything);
+  std::this_thread::sleep_for(past_member_timeout);
   const auto meanwhile = send_delivery("d2", key, "/slow").get();
   EXPECT_NE(meanwhile.outcome(), "refused-not-run") << meanwhile.body;
   f.signal("d1", SIGCONT);
@@ -80,8 +81,8 @@
 
 TEST_F(NonIdempotentTest, RunsOnceWhenTheDaemonIsPausedBeforeItDispatches)
 {
-  // The store is slow, so that the daemon is paused while its claims are being written.
-  f.object_api_faults(R"({"delay_ms":150})");
+  // The store is slow, so that the pause of the daemon falls in the time of the claim writes.
+  f.set_object_api_faults(R"({"delay_ms":150})");
   std::vector<std::string> keys;
   std::vector<std::future<reply>> sent;
   for (int i = 0; i < 16; ++i) {
@@ -90,8 +91,8 @@
   }
   std::this_thread::sleep_for(std::chrono::milliseconds(100));
   f.signal("d1", SIGSTOP);
-  std::this_thread::sleep_for(past_everything);
-  f.object_api_faults(R"({"delay_ms":0})");
+  std::this_thread::sleep_for(past_member_timeout);
+  f.set_object_api_faults(R"({"delay_ms":0})");
   std::vector<std::future<reply>> repeated;
   repeated.reserve(keys.size());
   for (const auto& key : keys) {
@@ -111,7 +112,7 @@
 
 TEST_F(NonIdempotentTest, RunsOnceWhenTheOwnersOfItsShardAreKilled)
 {
-  // Keys spread over all shards: killing a daemon kills the owner of about a third of them.
+  // The keys are spread over all shards, and d3 owns about a third of these.
   std::vector<std::string> keys;
   for (int i = 0; i < 24; ++i) {
     keys.push_back(make_key());
@@ -140,7 +141,7 @@
 
 TEST_F(NonIdempotentTest, RunsOnceWhenAnswersOfTheStoreAreLost)
 {
-  f.object_api_faults(R"({"lose_answer_probability":0.5,"seed":7})");
+  f.set_object_api_faults(R"({"lose_answer_probability":0.5,"seed":7})");
   for (int i = 0; i < 12; ++i) {
     const auto key = make_key();
     const auto first = send_delivery("d1", key).get();
--- a/test/system/process.cc
+++ b/test/system/process.cc
@@ -28,8 +28,7 @@
   posix_spawn_file_actions_addopen(&files, STDOUT_FILENO, log_.c_str(),
                                    O_WRONLY | O_CREAT | O_TRUNC | O_APPEND, log_mode);
   posix_spawn_file_actions_adddup2(&files, STDOUT_FILENO, STDERR_FILENO);
-  // Else a listener of this process that is closed would go on listening in the one that is
-  // started.
+  // An inherited listening socket would go on listening in the child after this process closes it.
   posix_spawn_file_actions_addclosefrom_np(&files, STDERR_FILENO + 1);
   std::vector<char*> argv;
   for (const auto& each : arguments) {
@@ -59,7 +58,7 @@
 std::string process::await_line(const std::string& start) const
 {
   std::string found;
-  const bool there = eventually([&] {
+  const bool has_line = eventually([&] {
     std::ifstream in(log_);
     std::string line;
     while (std::getline(in, line)) {
@@ -70,7 +69,7 @@
     }
     return false;
   });
-  if (!there) {
+  if (!has_line) {
     throw std::runtime_error("no line '" + start + "' in: " + output());
   }
   return found;
@@ -93,19 +92,19 @@
   pid_ = 0;
 }
 
-std::optional<bool> process::ended()
+std::optional<bool> process::exited_cleanly()
 {
   int status = 0;
   if (pid_ != 0 && waitpid(pid_, &status, WNOHANG) == pid_) {
     pid_ = 0;
-    ended_ = WIFEXITED(status) && WEXITSTATUS(status) == 0;
+    exited_cleanly_ = WIFEXITED(status) && WEXITSTATUS(status) == 0;
   }
-  return ended_;
+  return exited_cleanly_;
 }
 
-bool process::await_end()
+bool process::await_exit()
 {
-  return eventually([this] { return ended().has_value(); }) && *ended_;
+  return eventually([this] { return exited_cleanly().has_value(); }) && *exited_cleanly_;
 }
 
 } // namespace wisteriaflow::system_tests
--- a/test/system/process.h
+++ b/test/system/process.h
@@ -1,4 +1,7 @@
-// A child process of a test: a program started with its output in a file, signalled and reaped.
+// A child process of a test, with its output in a file.
+//
+//   process p({"/usr/bin/env", "true"}, "/tmp/true.log");
+//   p.await_exit();
 
 #ifndef WISTERIAFLOW_TEST_SYSTEM_PROCESS_H_
 #define WISTERIAFLOW_TEST_SYSTEM_PROCESS_H_
@@ -11,42 +14,44 @@
 
 namespace wisteriaflow::system_tests {
 
-// Killed and reaped at the latest when destroyed.
+// The destructor kills and reaps a process that still runs.
 class process {
  public:
-  // Starts `arguments` (the program first); both its outputs go to the file `log`. Throws
-  // std::runtime_error if it cannot be started.
+  // Starts the program `arguments[0]` with the arguments that follow; standard output and standard
+  // error go to the file `log`. Throws std::runtime_error if it cannot be started.
   process(const std::vector<std::string>& arguments, std::string log);
   ~process();
   process(const process&) = delete;
   process& operator=(const process&) = delete;
 
-  // Waits for a line of output that begins with `start` and returns it. Throws std::runtime_error,
-  // with the output so far, if the program ends before or takes over half a minute.
+  // Waits for a line of output that starts with `start` and returns it. Throws std::runtime_error
+  // with the output so far if there is no such line within half a minute, also if the program has
+  // ended.
   [[nodiscard]] std::string await_line(const std::string& start) const;
 
-  // The process id; 0 once it has been reaped.
+  // Returns the process id; 0 after the process has been reaped.
   [[nodiscard]] pid_t id() const { return pid_; }
 
-  // Sends a signal; nothing if the process has been reaped.
+  // Sends signal `number`; does nothing after the process has been reaped.
   void signal(int number) const;
 
-  // Sends SIGKILL and reaps.
+  // Sends SIGKILL and reaps the process.
   void kill();
 
-  // Waits up to half a minute for the process to end by itself; returns whether it ended with 0.
-  bool await_end();
+  // Waits up to half a minute for the process to exit by itself; returns whether its exit status is
+  // 0.
+  bool await_exit();
 
-  // Whether it ended with 0; nothing while it runs. Does not wait.
-  [[nodiscard]] std::optional<bool> ended();
+  // Returns whether the process exited with status 0, without waiting; std::nullopt while it runs.
+  [[nodiscard]] std::optional<bool> exited_cleanly();
 
-  // What it has written so far.
+  // Returns the output so far.
   [[nodiscard]] std::string output() const;
 
  private:
   std::string log_;
   pid_t pid_ = 0; // 0: reaped
-  std::optional<bool> ended_;
+  std::optional<bool> exited_cleanly_;
 };
 
 } // namespace wisteriaflow::system_tests
