--- a/bench/capacity_bench.cc
+++ b/bench/capacity_bench.cc
@@ -1,5 +1,7 @@
-// Cost, served demand and flapping of the capacity planner over a simulated day, against plain
-// policies and with each of its rules switched off alone; and the time of a plan at planned size.
+// Simulates a day of one pool and measures what the capacity planner costs, how much of the demand
+// it serves and how often it launches and releases instances. Compares it with simple policies and
+// with variants of itself that have one rule disabled each. Also times one computation of the
+// cheapest instance mix at the size that the system is designed for.
 //
 //   build/capacity_bench --seeds=5 --json=capacity.json
 
@@ -26,30 +28,35 @@
 namespace wisteriaflow::capacity {
 namespace {
 
-// One line of the table.
-struct trial {
+// One row of the table: a policy and the planner options that it changes.
+struct scenario {
   std::string name;
-  policy who = policy::planned;
+  policy policy_kind = policy::planned;
   double max_reclaimable_share = 1;
-  std::function<void(planner_options&)> change = [](planner_options& /*rules*/) {};
+  std::function<void(planner_options&)> adjust_options = [](planner_options& /*rules*/) {};
 };
 
-std::vector<trial> trials()
+std::vector<scenario> scenarios()
 {
   constexpr double authority_share = 0.58;
   return {
-      {.name = "on-demand only", .who = policy::on_demand_only},
-      {.name = "reclaimable only", .who = policy::reclaimable_only},
-      {.name = "static mix", .who = policy::static_mix},
+      {.name = "on-demand only", .policy_kind = policy::on_demand_only},
+      {.name = "reclaimable only", .policy_kind = policy::reclaimable_only},
+      {.name = "static mix", .policy_kind = policy::static_mix},
       {.name = "planner, 58%", .max_reclaimable_share = authority_share},
       {.name = "planner, free mix"},
-      {.name = "- hysteresis", .change = [](auto& rules) { rules.switch_hysteresis = false; }},
-      {.name = "- zone headroom", .change = [](auto& rules) { rules.zone_headroom = false; }},
-      {.name = "- launch backoff", .change = [](auto& rules) { rules.back_off_refused = false; }},
+      {.name = "- hysteresis",
+       .adjust_options = [](auto& rules) { rules.switch_hysteresis = false; }},
+      {.name = "- zone headroom",
+       .adjust_options = [](auto& rules) { rules.zone_headroom = false; }},
+      {.name = "- launch backoff",
+       .adjust_options = [](auto& rules) { rules.back_off_refused = false; }},
       {.name = "- reclaim backoff",
-       .change = [](auto& rules) { rules.backoff.reclaim_backoff = std::chrono::milliseconds{0}; }},
+       .adjust_options =
+           [](auto& rules) { rules.backoff.reclaim_backoff = std::chrono::milliseconds{0}; }},
       {.name = "- late release",
-       .change = [](auto& rules) { rules.release_after = std::chrono::milliseconds{1'000}; }},
+       .adjust_options =
+           [](auto& rules) { rules.release_after = std::chrono::milliseconds{1'000}; }},
   };
 }
 
@@ -60,16 +67,16 @@
   sum.reclaimable_hours += one.reclaimable_hours;
   sum.served += one.served;
   sum.demanded += one.demanded;
-  sum.worst_after_loss = std::min(sum.worst_after_loss, one.worst_after_loss);
+  sum.min_served_after_loss = std::min(sum.min_served_after_loss, one.min_served_after_loss);
   sum.short_minutes += one.short_minutes;
   sum.launches += one.launches;
-  sum.refused += one.refused;
+  sum.refused_launches += one.refused_launches;
   sum.releases += one.releases;
-  sum.lost += one.lost;
+  sum.unanswered_launches += one.unanswered_launches;
   sum.plan_microseconds += one.plan_microseconds;
 }
 
-boost::json::object run_trials(const std::string& deployment, int runners)
+boost::json::object run_scenarios(const std::string& deployment, int runners)
 {
   const int seeds = absl::GetFlag(FLAGS_seeds);
   std::printf("\n%s: %d runners at the peak, 4 zones, price ratio %.2f, seeds 1 to %d\n",
@@ -78,10 +85,10 @@
               "recl.", "served", "worst", "short", "launches", "refused", "releases", "plan us");
   boost::json::object out;
   double on_demand_cost = 0;
-  for (const auto& t : trials()) {
-    const bool left_out = t.name.find(absl::GetFlag(FLAGS_only)) == std::string::npos;
-    if (left_out && t.who != policy::on_demand_only) {
-      continue; // savings are against on-demand
+  for (const auto& t : scenarios()) {
+    const bool is_filtered_out = t.name.find(absl::GetFlag(FLAGS_only)) == std::string::npos;
+    if (is_filtered_out && t.policy_kind != policy::on_demand_only) {
+      continue; // needed even if filtered out: savings are relative to its cost
     }
     day_result sum;
     for (int seed = 1; seed <= seeds; ++seed) {
@@ -90,16 +97,16 @@
       if (payback > 0) {
         rules.payback_horizon = std::chrono::milliseconds(static_cast<int>(payback * 60'000));
       }
-      t.change(rules);
+      t.adjust_options(rules);
       add(sum, run_day({.seed = static_cast<std::uint64_t>(seed),
                         .runners = runners,
                         .price_ratio = absl::GetFlag(FLAGS_price_ratio),
                         .max_reclaimable_share = t.max_reclaimable_share,
                         .second_wave = absl::GetFlag(FLAGS_second_wave)},
-                       t.who, rules));
+                       t.policy_kind, rules));
     }
     const double n = seeds;
-    if (t.who == policy::on_demand_only) {
+    if (t.policy_kind == policy::on_demand_only) {
       on_demand_cost = sum.cost;
     }
     const double saved = 1 - sum.cost / on_demand_cost;
@@ -108,25 +115,26 @@
     const double served = sum.served / sum.demanded;
     std::printf("%-18s %9.1f %7.1f%% %7.1f%% %8.3f%% %8.1f%% %6.1fmin %9.1f %8.1f %8.1f %8.0f\n",
                 t.name.c_str(), sum.cost / n, saved * 100, reclaimable * 100, served * 100,
-                sum.worst_after_loss * 100, sum.short_minutes / n, sum.launches / n,
-                sum.refused / n, sum.releases / n, sum.plan_microseconds / n);
+                sum.min_served_after_loss * 100, sum.short_minutes / n, sum.launches / n,
+                sum.refused_launches / n, sum.releases / n, sum.plan_microseconds / n);
     std::fflush(stdout);
     out[t.name] = boost::json::object{{"cost_per_day", sum.cost / n},
                                       {"saved_against_on_demand", saved},
                                       {"reclaimable_share", reclaimable},
                                       {"served_share", served},
-                                      {"worst_share_after_zone_loss", sum.worst_after_loss},
+                                      {"worst_share_after_zone_loss", sum.min_served_after_loss},
                                       {"short_minutes_per_day", sum.short_minutes / n},
                                       {"launches_per_day", sum.launches / n},
-                                      {"refused_per_day", sum.refused / n},
+                                      {"refused_per_day", sum.refused_launches / n},
                                       {"releases_per_day", sum.releases / n},
-                                      {"lost_answers_per_day", sum.lost / n},
+                                      {"lost_answers_per_day", sum.unanswered_launches / n},
                                       {"plan_microseconds", sum.plan_microseconds / n}};
   }
   return out;
 }
 
-// One solution at the planned size: 11 zones, 3 classes, 2,500 small instances' worth.
+// Times one solution at the design size: 11 zones, 3 instance classes and the capacity of 2,500
+// small instances.
 boost::json::object time_planned_size()
 {
   constexpr int zones = 11;
@@ -160,8 +168,8 @@
   constexpr int authority_runners = 9;
   constexpr int association_runners = 18;
   results["planned_size"] = time_planned_size();
-  results["authority"] = run_trials("Authority", authority_runners);
-  results["association"] = run_trials("Association", association_runners);
+  results["authority"] = run_scenarios("Authority", authority_runners);
+  results["association"] = run_scenarios("Association", association_runners);
   const auto path = absl::GetFlag(FLAGS_json);
   if (!path.empty()) {
     std::ofstream(path) << boost::json::serialize(results) << "\n";
--- a/bench/capacity_bench_world.cc
+++ b/bench/capacity_bench_world.cc
@@ -14,26 +14,26 @@
 constexpr std::chrono::seconds day = 24h;
 constexpr std::chrono::seconds zone_loss_at = 12h;
 constexpr std::chrono::seconds second_wave_at = 12h + 30s;
-constexpr std::chrono::seconds starts_refused_until = 12h + 20min;
+constexpr std::chrono::seconds launches_refused_until = 12h + 20min;
 constexpr std::chrono::seconds zone_back_at = 13h;
 constexpr std::chrono::seconds price_flip_at = 15h;
 constexpr std::chrono::seconds price_flip_until = 17h;
 constexpr std::chrono::seconds notice = 30s;
-constexpr double refused_elsewhere = 0.7; // of reclaimable starts, while waves go on
-constexpr double decode_rate = 1'000;     // of a small instance
+constexpr double refusal_probability_elsewhere = 0.7; // of reclaimable launches in other zones
+constexpr double decode_rate = 1'000;                 // tokens/s of a small instance
 constexpr double utilisation = 0.8;
 constexpr double seconds_per_hour = 3'600;
 constexpr std::int64_t weights_bytes = 20'000'000'000;
 
 struct instance_class {
   const char* name;
-  double size;  // against a small one
-  double price; // on demand
+  double size;  // relative to a small instance
+  double price; // of an on-demand instance
 };
 constexpr std::array<instance_class, 2> classes{{{"small", 1, 1}, {"large", 2, 1.9}}};
 
 struct simulated_instance {
-  pool_instance seen;
+  pool_instance listing;
   std::chrono::seconds listed_at{};
   std::chrono::seconds gone_at = day * 2;
   bool loaded = false;
@@ -42,9 +42,9 @@
 
 class simulated_day {
  public:
-  simulated_day(const day_options& options, policy who, const planner_options& rules)
-      : options_(options), who_(who), rules_(rules_of(rules)), planner_(rules_),
-        chance_(options.seed)
+  simulated_day(const day_options& options, policy policy_kind, const planner_options& rules)
+      : options_(options), policy_(policy_kind), rules_(options_with_bench_defaults(rules)),
+        planner_(rules_), random_(options.seed)
   {
     planner_.take_over(1, {});
     make_prices();
@@ -55,9 +55,9 @@
   {
     for (now_ = 0s; now_ < day; now_ += options_.step) {
       reclaim();
-      answer_loads();
+      complete_loads();
       if (now_.count() % options_.plan_period.count() == 0) {
-        decide();
+        apply_policy();
       }
       measure();
     }
@@ -68,18 +68,19 @@
   }
 
  private:
-  planner_options rules_of(planner_options rules) const
+  planner_options options_with_bench_defaults(planner_options rules) const
   {
     rules.launch_time = options_.launch_time;
     rules.target_utilisation = utilisation;
     rules.backoff.seed = options_.seed;
-    if (who_ == policy::reclaimable_only) {
+    if (policy_ == policy::reclaimable_only) {
       rules.zone_headroom = false;
     }
     return rules;
   }
 
-  // Every price of the day, one a ten minutes: a wave through the day and noise, per zone.
+  // Computes the reclaimable price ratios of each zone, one for every ten minutes: a sine wave over
+  // the day plus noise.
   void make_prices()
   {
     std::mt19937_64 random(options_.seed * 7919);
@@ -96,7 +97,7 @@
     }
   }
 
-  // Demand by minute: quiet at night, highest at noon, with noise.
+  // Computes the demand of each minute: low at night, highest at noon, with noise.
   void make_demand()
   {
     std::mt19937_64 random(options_.seed * 104729);
@@ -129,12 +130,12 @@
     for (int z = 0; z < options_.zones; ++z) {
       for (const auto& c : classes) {
         for (const bool reclaimable : {true, false}) {
-          const bool left_out = (who_ == policy::on_demand_only && reclaimable) ||
-                                (who_ == policy::reclaimable_only && !reclaimable);
+          const bool is_excluded = (policy_ == policy::on_demand_only && reclaimable) ||
+                                   (policy_ == policy::reclaimable_only && !reclaimable);
           const offer_key key{.zone = availability_zone(std::to_string(z)),
                               .instance_class = c.name,
                               .reclaimable = reclaimable};
-          if (!left_out) {
+          if (!is_excluded) {
             out.push_back({.key = key, .price_per_hour = price_of(key)});
           }
         }
@@ -153,10 +154,10 @@
     return std::chrono::duration<double, std::ratio<3'600>>(options_.step).count();
   }
 
-  void give_notice(simulated_instance& i)
+  void announce_reclaim(simulated_instance& i)
   {
-    if (!i.seen.leaving) {
-      i.seen.leaving = true;
+    if (!i.listing.leaving) {
+      i.listing.leaving = true;
       i.gone_at = now_ + notice;
     }
   }
@@ -166,55 +167,56 @@
     const double hazard = options_.reclaims_per_hour * step_hours();
     std::uniform_real_distribution<double> draw(0, 1);
     for (auto& [id, i] : instances_) {
-      const bool in_first_wave = now_ == zone_loss_at && i.seen.key.zone.value() == "0";
+      const bool in_first_wave = now_ == zone_loss_at && i.listing.key.zone.value() == "0";
       const bool in_second_wave = options_.second_wave && now_ == second_wave_at &&
-                                  i.seen.key.zone.value() == "1" && i.seen.key.reclaimable;
-      if (in_first_wave || in_second_wave || (i.seen.key.reclaimable && draw(chance_) < hazard)) {
-        give_notice(i);
+                                  i.listing.key.zone.value() == "1" && i.listing.key.reclaimable;
+      if (in_first_wave || in_second_wave ||
+          (i.listing.key.reclaimable && draw(random_) < hazard)) {
+        announce_reclaim(i);
       }
     }
     std::erase_if(instances_, [&](const auto& each) { return each.second.gone_at <= now_; });
   }
 
-  [[nodiscard]] bool refuses(const offer_key& key)
+  [[nodiscard]] bool is_launch_refused(const offer_key& key)
   {
     if (now_ < zone_loss_at || now_ >= zone_back_at) {
       return false;
     }
     std::uniform_real_distribution<double> draw(0, 1);
-    const bool scarce = now_ < starts_refused_until && key.reclaimable;
-    return key.zone.value() == "0" || (scarce && draw(chance_) < refused_elsewhere);
+    const bool scarce = now_ < launches_refused_until && key.reclaimable;
+    return key.zone.value() == "0" || (scarce && draw(random_) < refusal_probability_elsewhere);
   }
 
-  // The cloud API: the same token again gives the same instance.
+  // Simulates the cloud API. A repeated token returns the instance that it launched before.
   launch_answer start(const std::string& token, const offer_key& key)
   {
     ++result_.launches;
     const auto known = ids_by_token_.find(token);
     if (known == ids_by_token_.end()) {
-      if (refuses(key)) {
-        ++result_.refused;
+      if (is_launch_refused(key)) {
+        ++result_.refused_launches;
         return launch_refused{};
       }
       const instance_id id("i" + std::to_string(ids_by_token_.size()));
       ids_by_token_[token] = id;
-      instances_[id] = {.seen = {.id = id, .key = key, .launched_with = token},
+      instances_[id] = {.listing = {.id = id, .key = key, .launched_with = token},
                         .listed_at = now_ + options_.launch_time};
     } else {
       --result_.launches;
     }
     std::uniform_real_distribution<double> draw(0, 1);
-    if (draw(chance_) < options_.lost_answers) {
-      ++result_.lost;
+    if (draw(random_) < options_.lost_answers) {
+      ++result_.unanswered_launches;
       return launch_unanswered{};
     }
     return launch_started{ids_by_token_[token]};
   }
 
-  void decide()
+  void apply_policy()
   {
-    if (who_ == policy::static_mix) {
-      keep_static();
+    if (policy_ == policy::static_mix) {
+      maintain_static_mix();
       return;
     }
     plan_input input{.offers = offers(), .pools = {pool()}};
@@ -224,7 +226,7 @@
         std::chrono::duration<double>(std::chrono::steady_clock::now() - begun).count();
     ++plans_;
     for (const auto& a : actions) {
-      std::visit([this](const auto& one) { act(one); }, a);
+      std::visit([this](const auto& one) { perform(one); }, a);
     }
   }
 
@@ -242,22 +244,22 @@
     in.model_loads = {{.model = model_id("m"), .bytes = weights_bytes}};
     for (const auto& [id, i] : instances_) {
       if (i.listed_at <= now_) {
-        in.instances.push_back(i.seen);
+        in.instances.push_back(i.listing);
       }
     }
     return in;
   }
 
-  void act(const launch& a)
+  void perform(const launch& a)
   {
     planner_.on_launch_answered(a.token, start(a.token, a.key), clock());
   }
-  void act(const release& a)
+  void perform(const release& a)
   {
     ++result_.releases;
     instances_.erase(a.id);
   }
-  void act(const order_load& a)
+  void perform(const order_load& a)
   {
     const auto it = instances_.find(a.endpoint);
     if (it != instances_.end()) {
@@ -265,7 +267,7 @@
     }
   }
 
-  void answer_loads()
+  void complete_loads()
   {
     for (auto& [id, i] : instances_) {
       if (!i.loaded && i.loaded_at <= now_) {
@@ -275,8 +277,9 @@
     }
   }
 
-  // Half reclaimable and half on demand, the same in each zone, for the peak with its headroom.
-  void keep_static()
+  // Launches missing instances of the static mix: half reclaimable and half on-demand, the same
+  // number in each zone, enough for the peak and its headroom.
+  void maintain_static_mix()
   {
     const int per_kind = static_cast<int>(std::ceil(options_.runners / (2.0 * options_.zones)));
     for (int z = 0; z < options_.zones; ++z) {
@@ -285,7 +288,7 @@
                             .instance_class = "small",
                             .reclaimable = reclaimable};
         const auto have = std::count_if(instances_.begin(), instances_.end(), [&](const auto& e) {
-          return e.second.seen.key == key && !e.second.seen.leaving;
+          return e.second.listing.key == key && !e.second.listing.leaving;
         });
         for (auto n = have; n < per_kind; ++n) {
           const auto answer = start("s" + std::to_string(++static_tokens_), key);
@@ -297,19 +300,20 @@
     }
   }
 
-  // A leaving instance serves until it is gone.
+  // Adds the current step to the result. An instance that is being reclaimed serves until it is
+  // gone.
   void measure()
   {
     double capacity = 0;
     const double hours = step_hours();
     const double seconds = hours * seconds_per_hour;
     for (const auto& [id, i] : instances_) {
-      const double size = i.seen.key.instance_class == classes[1].name ? classes[1].size : 1;
+      const double size = i.listing.key.instance_class == classes[1].name ? classes[1].size : 1;
       capacity += i.loaded ? size * decode_rate * utilisation : 0;
-      result_.cost += price_of(i.seen.key) * hours;
-      (i.seen.key.reclaimable ? result_.reclaimable_hours : result_.on_demand_hours) += hours;
+      result_.cost += price_of(i.listing.key) * hours;
+      (i.listing.key.reclaimable ? result_.reclaimable_hours : result_.on_demand_hours) += hours;
     }
-    constexpr std::chrono::seconds warm_up = 10min; // the day begins with nothing running
+    constexpr std::chrono::seconds warm_up = 10min; // the day starts without instances
     if (now_ < warm_up) {
       return;
     }
@@ -320,17 +324,18 @@
       result_.short_minutes += hours * 60;
     }
     if (now_ >= zone_loss_at && now_ < zone_loss_at + 30min) {
-      result_.worst_after_loss = std::min(result_.worst_after_loss, served / demand());
+      result_.min_served_after_loss = std::min(result_.min_served_after_loss, served / demand());
     }
   }
 
   day_options options_;
-  policy who_;
+  policy policy_;
   planner_options rules_;
   planner planner_;
-  std::mt19937_64 chance_;
-  std::vector<std::vector<double>> ratios_; // by zone and ten minutes
-  std::vector<double> demand_;              // by minute
+  std::mt19937_64 random_;
+  // Reclaimable prices relative to on-demand ones, by zone and ten minutes.
+  std::vector<std::vector<double>> ratios_;
+  std::vector<double> demand_; // tokens/s, by minute
   std::map<instance_id, simulated_instance> instances_;
   std::map<std::string, instance_id> ids_by_token_;
   std::chrono::seconds now_{};
@@ -342,9 +347,9 @@
 
 } // namespace
 
-day_result run_day(const day_options& options, policy who, const planner_options& rules)
+day_result run_day(const day_options& options, policy policy_kind, const planner_options& rules)
 {
-  return simulated_day(options, who, rules).run();
+  return simulated_day(options, policy_kind, rules).run();
 }
 
 } // namespace wisteriaflow::capacity
--- a/bench/capacity_bench_world.h
+++ b/bench/capacity_bench_world.h
@@ -1,5 +1,8 @@
-// A simulated day of one pool: moving prices and demand, reclaims, refused starts and lost answers,
-// with the planner or a plain policy in charge.
+// Simulates one day of one pool of instances, with changing prices and demand, reclaimed instances,
+// refused launches and launch calls whose answer is lost. The instances are chosen by the capacity
+// planner or by a simple policy to compare it with.
+//
+//   const day_result result = run_day({.seed = 1}, policy::planned, planner_options{});
 
 #ifndef WISTERIAFLOW_BENCH_CAPACITY_BENCH_WORLD_H_
 #define WISTERIAFLOW_BENCH_CAPACITY_BENCH_WORLD_H_
@@ -15,46 +18,50 @@
 
 namespace wisteriaflow::capacity {
 
-// What is simulated. Times are of the day.
+// Parameters of the simulated day.
 struct day_options {
   std::uint64_t seed = 1;
   int zones = 4;
-  int runners = 9;          // small instances that the peak needs, zone headroom included
-  double price_ratio = 0.3; // mean price of reclaimable against on-demand
+  int runners = 9;          // small instances needed at the peak, including the zone headroom
+  double price_ratio = 0.3; // mean price of reclaimable instances relative to on-demand ones
   double max_reclaimable_share = 1;
   std::chrono::seconds step{5};
   std::chrono::seconds plan_period{15};
   std::chrono::seconds launch_time{60};
-  double reclaims_per_hour = 1.0 / 12; // of one reclaimable instance, besides the waves
-  double lost_answers = 0.02;          // of launches
-  bool second_wave = true; // 30 s after the zone's loss, of another zone's reclaimable instances
+  double reclaims_per_hour = 1.0 / 12; // of each reclaimable instance, apart from the zone losses
+  double lost_answers = 0.02;          // share of launch calls whose answer is lost
+  bool second_wave = true; // another zone's reclaimable instances, 30 s after the zone's loss
 };
 
-// Who is in charge.
+// What decides which instances run.
 enum class policy {
   planned,          // the planner
-  on_demand_only,   // the planner, with on-demand offers alone
-  reclaimable_only, // the planner, with reclaimable offers alone and no zone headroom
+  on_demand_only,   // the planner with only on-demand offers
+  reclaimable_only, // the planner with only reclaimable offers and no zone headroom
   static_mix,       // sized for the peak, half reclaimable, spread evenly over the zones
 };
 
+// Totals over the day. `served`, `demanded` and `short_minutes` leave out the first 10 minutes, in
+// which the first instances start.
 struct day_result {
-  double cost = 0; // of all instances, in the prices' unit
+  double cost = 0; // of all instances, in the unit of the prices
   double on_demand_hours = 0;
   double reclaimable_hours = 0;
-  double served = 0; // tokens within the capacity at the latency target
+  double served = 0; // tokens that fit into the capacity at the latency target
   double demanded = 0;
-  double worst_after_loss = 1; // least part of the demand within capacity, in the 30 minutes after
-  double short_minutes = 0;    // time with less than the demand within capacity
+  // Lowest share of the demand served in the 30 minutes after the zone loss.
+  double min_served_after_loss = 1;
+  double short_minutes = 0; // time in which the capacity was below the demand
   int launches = 0;
-  int refused = 0;
+  int refused_launches = 0;
   int releases = 0;
-  int lost = 0;
-  double plan_microseconds = 0; // mean
+  int unanswered_launches = 0;
+  double plan_microseconds = 0; // mean time of one plan
 };
 
-// Runs a day. The same options give the same day to every policy.
-[[nodiscard]] day_result run_day(const day_options& options, policy who,
+// Simulates a day and returns its totals. With the same `options`, prices and demand are the same
+// for every policy.
+[[nodiscard]] day_result run_day(const day_options& options, policy policy_kind,
                                  const planner_options& rules);
 
 } // namespace wisteriaflow::capacity
--- a/bench/claims_bench.cc
+++ b/bench/claims_bench.cc
@@ -1,6 +1,7 @@
-// What claims cost: store writes, bytes and waiting time, for a steady flow of claims over all
-// shards. Time is simulated and the store answers after a fixed delay, so the figures but the
-// processor time are the same in each run. Prints a table and, with --json, the same as JSON.
+// Measures what claims of non-idempotent requests cost at a steady rate over all shards: store
+// writes, bytes and waiting time. Time is simulated and the store answers after a fixed delay, so
+// every figure except the processor time is the same in each run. Prints a table, or JSON with
+// --json.
 
 #include <chrono>
 #include <cstdio>
@@ -36,49 +37,51 @@
 
 constexpr std::uint64_t seed = 20261202;
 
-struct figures {
+struct measurements {
   std::uint64_t claims = 0;
   std::uint64_t writes = 0;
   std::uint64_t bytes = 0;
-  double waited_ms = 0;
+  double wait_ms = 0;
   std::uint64_t takeover_reads = 0;
   double processor_us = 0;
 };
 
-// One shard's owner, its claims at random times and a store that answers late.
-class shard_run {
+// Simulates the owner of one shard with claims at random times and a store that answers after a
+// delay.
+class shard_simulation {
  public:
-  shard_run(std::uint32_t shard, const claim_settings& settings)
+  shard_simulation(std::uint32_t shard, const claim_settings& settings)
       : shard_(shard), settings_(settings), random_(seed + shard),
         owner_({.shard = shard, .self = daemon_id("owner"), .settings = settings, .seed = shard})
   {
   }
 
-  figures run()
+  measurements run()
   {
     const auto warm = milliseconds{absl::GetFlag(FLAGS_warm_seconds) * 1000LL};
     const auto end = milliseconds{absl::GetFlag(FLAGS_seconds) * 1000LL};
-    std::exponential_distribution<double> gaps(absl::GetFlag(FLAGS_claims_per_second) /
-                                               settings_.shards / 1000.0);
-    give(ownership_desired{true});
-    double next_claim = gaps(random_);
+    std::exponential_distribution<double> interarrival_ms(absl::GetFlag(FLAGS_claims_per_second) /
+                                                          settings_.shards / 1000.0);
+    deliver(ownership_desired{true});
+    double next_claim = interarrival_ms(random_);
     for (; now_ < end; now_ += milliseconds{1}) {
       measuring_ = now_ >= warm;
-      answer_calls();
-      for (; next_claim <= static_cast<double>(now_.count()); next_claim += gaps(random_)) {
-        ask();
+      complete_due_calls();
+      for (; next_claim <= static_cast<double>(now_.count());
+           next_claim += interarrival_ms(random_)) {
+        send_claim();
       }
       const auto due = owner_.wake_at();
       if (due && *due <= clock().mono) {
-        give(tick{});
+        deliver(tick{});
       }
     }
     measure_takeover();
-    return figures_;
+    return measurements_;
   }
 
  private:
-  struct late_answer {
+  struct delayed_call {
     milliseconds at;
     store_call call;
   };
@@ -88,76 +91,77 @@
     return {.mono = mono_time{now_}, .wall = from_unix_ms(1'800'000'000'000) + now_};
   }
 
-  void give(const owner_event& event)
+  void deliver(const owner_event& event)
   {
     const auto started = std::chrono::steady_clock::now();
     const auto actions = owner_.handle(event, clock());
     const std::chrono::duration<double, std::micro> spent =
         std::chrono::steady_clock::now() - started;
     if (measuring_) {
-      figures_.processor_us += spent.count();
+      measurements_.processor_us += spent.count();
     }
     for (const auto& action : actions) {
       if (const auto* call = std::get_if<store_call>(&action)) {
-        open_.push({.at = now_ + milliseconds{absl::GetFlag(FLAGS_store_ms)}, .call = *call});
+        pending_calls_.push(
+            {.at = now_ + milliseconds{absl::GetFlag(FLAGS_store_ms)}, .call = *call});
       } else {
-        note_reply(std::get<send_reply>(action));
+        record_reply(std::get<send_reply>(action));
       }
     }
   }
 
-  void answer_calls()
+  void complete_due_calls()
   {
-    while (!open_.empty() && open_.front().at <= now_) {
-      const auto call = open_.front().call;
-      open_.pop();
+    while (!pending_calls_.empty() && pending_calls_.front().at <= now_) {
+      const auto call = pending_calls_.front().call;
+      pending_calls_.pop();
       const auto writes = store_.writes;
       const auto bytes = store_.bytes_written;
       const auto result = store_.apply(call);
       if (measuring_) {
-        figures_.writes += store_.writes - writes;
-        figures_.bytes += store_.bytes_written - bytes;
+        measurements_.writes += store_.writes - writes;
+        measurements_.bytes += store_.bytes_written - bytes;
       }
-      give(store_answer{.id = call.id, .result = result});
+      deliver(store_answer{.id = call.id, .result = result});
     }
   }
 
-  void ask()
+  void send_claim()
   {
     const auto token = ++last_token_;
-    asked_at_[token] = now_;
+    requested_at_[token] = now_;
     claim_request request{.shard = shard_,
                           .key = {.high = random_(), .low = random_()},
                           .body_hash = random_(),
                           .created = clock().wall,
                           .executor = daemon_id("daemon-" + std::to_string(token % 8)),
                           .nonce = token};
-    give(claim_received{.token = token, .request = std::move(request)});
+    deliver(claim_received{.token = token, .request = std::move(request)});
   }
 
-  void note_reply(const send_reply& reply)
+  void record_reply(const send_reply& reply)
   {
     if (measuring_ && reply.reply.result == claim_result::granted) {
-      ++figures_.claims;
-      figures_.waited_ms += static_cast<double>((now_ - asked_at_.at(reply.token)).count());
+      ++measurements_.claims;
+      measurements_.wait_ms += static_cast<double>((now_ - requested_at_.at(reply.token)).count());
     }
-    asked_at_.erase(reply.token);
+    requested_at_.erase(reply.token);
   }
 
-  // Reads of a daemon that takes the shard over now.
+  // Counts the store reads of another daemon that takes the shard over at the end of the run.
   void measure_takeover()
   {
     measuring_ = false;
     store_.reads = 0;
-    open_ = {};
+    pending_calls_ = {};
     owner_ = claim_shard_owner(
         {.shard = shard_, .self = daemon_id("next"), .settings = settings_, .seed = 1});
-    give(ownership_desired{true});
+    deliver(ownership_desired{true});
     while (owner_.state() != ownership::owning) {
       now_ += milliseconds{1};
-      answer_calls();
+      complete_due_calls();
     }
-    figures_.takeover_reads = store_.reads;
+    measurements_.takeover_reads = store_.reads;
   }
 
   std::uint32_t shard_;
@@ -165,15 +169,15 @@
   std::mt19937_64 random_;
   claim_shard_owner owner_;
   fake_claim_store store_;
-  std::queue<late_answer> open_;
-  std::map<std::uint64_t, milliseconds> asked_at_;
+  std::queue<delayed_call> pending_calls_;
+  std::map<std::uint64_t, milliseconds> requested_at_;
   std::uint64_t last_token_ = 0;
   milliseconds now_{0};
   bool measuring_ = false;
-  figures figures_;
+  measurements measurements_;
 };
 
-void print(const figures& total, const claim_settings& settings)
+void print(const measurements& total, const claim_settings& settings)
 {
   const double seconds = absl::GetFlag(FLAGS_seconds) - absl::GetFlag(FLAGS_warm_seconds);
   const auto claims = static_cast<double>(total.claims);
@@ -187,7 +191,7 @@
       {"bytes_per_second", bytes / seconds},
       {"bytes_per_second_per_shard", bytes / seconds / settings.shards},
       {"bytes_per_claim", bytes / claims},
-      {"mean_wait_ms", total.waited_ms / claims},
+      {"mean_wait_ms", total.wait_ms / claims},
       {"takeover_reads_per_shard", static_cast<double>(total.takeover_reads) / settings.shards},
       {"processor_us_per_claim", total.processor_us / claims},
   };
@@ -211,13 +215,13 @@
       .max_tail_entries = absl::GetFlag(FLAGS_tail_entries),
       .merge_segments = absl::GetFlag(FLAGS_merge_segments),
   };
-  figures total;
+  measurements total;
   for (std::uint32_t shard = 0; shard < settings.shards; ++shard) {
-    const auto one = shard_run(shard, settings).run();
+    const auto one = shard_simulation(shard, settings).run();
     total.claims += one.claims;
     total.writes += one.writes;
     total.bytes += one.bytes;
-    total.waited_ms += one.waited_ms;
+    total.wait_ms += one.wait_ms;
     total.takeover_reads += one.takeover_reads;
     total.processor_us += one.processor_us;
   }
--- a/bench/gateway_control_bench.cc
+++ b/bench/gateway_control_bench.cc
@@ -1,10 +1,11 @@
-// What one gateway daemon's control costs in fleets of different sizes: the pure part of an
-// exchange of reports, of a tick and of a choice, without sockets.
+// Measures the processor time that one gateway daemon spends on coordination in fleets of different
+// sizes: encoding, decoding and merging peer reports, the periodic tick, and the choice of an
+// endpoint. No sockets are used.
 //
 //   gateway_control_bench                               every size
 //   gateway_control_bench --benchmark_filter=/195       one size
 //
-// Each peer has calls at seven endpoints, and counts of nineteen workspaces in three windows.
+// Each peer has calls at seven endpoints, and usage counts of nineteen workspaces in three windows.
 
 #include <chrono>
 #include <string>
@@ -22,7 +23,7 @@
 
 using namespace std::chrono_literals;
 
-constexpr unsigned calls_of_a_daemon = 7;
+constexpr unsigned calls_per_daemon = 7;
 constexpr unsigned workspaces = 19;
 constexpr unsigned windows = 3;
 constexpr unsigned departures = 20;
@@ -38,25 +39,25 @@
   return endpoint_id("i-7f3a91c2" + std::to_string(n));
 }
 
-// One daemon that knows `daemons` peers and two thirds as many endpoints.
-class known_fleet {
+// The state of one daemon in a fleet of `daemons` daemons and two thirds as many endpoints.
+class daemon_with_peers {
  public:
-  explicit known_fleet(unsigned daemons)
+  explicit daemon_with_peers(unsigned daemons)
       : daemons_(daemons), log_([](const daemon::log_line&) { return true; }),
         state_(settings_of(0), log_), now_(read_clocks())
   {
-    std::vector<gateway::endpoint_record> listed;
+    std::vector<gateway::endpoint_record> records;
     for (unsigned n = 0; n < endpoints(); ++n) {
-      listed.push_back({.id = endpoint_name(n),
-                        .revision = 1,
-                        .service = "models",
-                        .address = {.host = "10.9.0.1", .port = static_cast<std::uint16_t>(n + 1)},
-                        .zone = availability_zone("akl-a"),
-                        .places = 12});
+      records.push_back({.id = endpoint_name(n),
+                         .revision = 1,
+                         .service = "models",
+                         .address = {.host = "10.9.0.1", .port = static_cast<std::uint16_t>(n + 1)},
+                         .zone = availability_zone("akl-a"),
+                         .places = 12});
     }
-    state_.endpoints.replace_all(listed, 1, now_.mono);
+    state_.endpoints.replace_all(records, 1, now_.mono);
     for (unsigned n = 1; n < daemons_; ++n) {
-      hear(n);
+      receive_report_from(n);
     }
     state_.tick(now_);
   }
@@ -64,8 +65,8 @@
   [[nodiscard]] unsigned endpoints() const { return daemons_ * 2 / 3; }
   [[nodiscard]] fleet_state& state() { return state_; }
 
-  // Time goes on, so that each round differs from the one before.
-  void pass(std::chrono::milliseconds time)
+  // Advances the clock, so that each iteration works on a state that has changed.
+  void advance_time(std::chrono::milliseconds time)
   {
     now_.mono += time;
     now_.wall += time;
@@ -84,8 +85,9 @@
                  .ready = true},
         .clock = now_.wall,
         .prefill = {{"models", 1'000.0}}};
-    for (unsigned i = 0; i < calls_of_a_daemon; ++i) {
-      const auto id = endpoint_name((n * calls_of_a_daemon + i * 5 + told_) % endpoints());
+    for (unsigned i = 0; i < calls_per_daemon; ++i) {
+      const auto id =
+          endpoint_name((n * calls_per_daemon + i * 5 + received_reports_) % endpoints());
       out.work[id] = {.waiting = 1, .running = 1, .waiting_tokens = 1'000 + n};
     }
     for (unsigned i = 0; i < departures; ++i) {
@@ -95,18 +97,18 @@
       gateway::usage_row row{.source = {.daemon = daemon_name(n), .incarnation = 1},
                              .window = window() - w};
       for (unsigned i = 0; i < workspaces; ++i) {
-        row.counts[workspace_id("workspace" + std::to_string(i))] = i + told_;
+        row.counts[workspace_id("workspace" + std::to_string(i))] = i + received_reports_;
       }
       out.usage.push_back(std::move(row));
     }
     return out;
   }
 
-  // The next peer's report arrives.
-  void hear_next()
+  // Merges a new report of the next peer in turn.
+  void receive_next_report()
   {
-    ++told_;
-    hear(1 + told_ % (daemons_ - 1));
+    ++received_reports_;
+    receive_report_from(1 + received_reports_ % (daemons_ - 1));
   }
 
  private:
@@ -122,10 +124,10 @@
     return static_cast<gateway::usage_window>(to_unix_ms(now_.wall) / 5'000);
   }
 
-  void hear(unsigned n) { state_.merge_report(report_of(n), now_); }
+  void receive_report_from(unsigned n) { state_.merge_report(report_of(n), now_); }
 
   unsigned daemons_;
-  unsigned told_ = 0;
+  unsigned received_reports_ = 0;
   event_log log_;
   fleet_state state_;
   clock_reading now_;
@@ -136,12 +138,13 @@
   b->Arg(18)->Arg(80)->Arg(195)->Arg(390)->Unit(benchmark::kMicrosecond);
 }
 
-// `silent`: all peers have just died, and this daemon tells their counts.
+// `silent`: the peers have sent no report for 2 s, so this daemon's report includes their usage
+// counts.
 void make_report(benchmark::State& state, bool silent)
 {
-  known_fleet fleet(static_cast<unsigned>(state.range(0)));
+  daemon_with_peers fleet(static_cast<unsigned>(state.range(0)));
   if (silent) {
-    fleet.pass(2s);
+    fleet.advance_time(2s);
   }
   std::size_t bytes = 0;
   for (auto _ : state) {
@@ -155,7 +158,7 @@
 
 void read_report(benchmark::State& state)
 {
-  known_fleet fleet(static_cast<unsigned>(state.range(0)));
+  daemon_with_peers fleet(static_cast<unsigned>(state.range(0)));
   const auto packed = deflate(encode_peer_report(fleet.report_of(3)));
   for (auto _ : state) {
     benchmark::DoNotOptimize(gateway::decode_peer_report(inflate(packed, max_report_bytes)));
@@ -166,20 +169,20 @@
 
 void absorb_report(benchmark::State& state)
 {
-  known_fleet fleet(static_cast<unsigned>(state.range(0)));
+  daemon_with_peers fleet(static_cast<unsigned>(state.range(0)));
   for (auto _ : state) {
-    fleet.pass(10ms);
-    fleet.hear_next();
+    fleet.advance_time(10ms);
+    fleet.receive_next_report();
   }
 }
 BENCHMARK(absorb_report)->Apply(set_sizes);
 
 void tick(benchmark::State& state)
 {
-  known_fleet fleet(static_cast<unsigned>(state.range(0)));
+  daemon_with_peers fleet(static_cast<unsigned>(state.range(0)));
   for (auto _ : state) {
-    fleet.pass(10ms);
-    fleet.hear_next();
+    fleet.advance_time(10ms);
+    fleet.receive_next_report();
     fleet.state().tick(fleet.now());
   }
 }
@@ -187,11 +190,11 @@
 
 void choose(benchmark::State& state)
 {
-  known_fleet fleet(static_cast<unsigned>(state.range(0)));
+  daemon_with_peers fleet(static_cast<unsigned>(state.range(0)));
   const std::vector<gateway::prompt_part> prompt = {
       {.id = 1, .tokens = 512}, {.id = 2, .tokens = 4'000}, {.id = 3, .tokens = 1'000}};
   for (auto _ : state) {
-    fleet.pass(10ms);
+    fleet.advance_time(10ms);
     auto chosen =
         fleet.state().endpoints.choose({.service = "models",
                                         .prompt = prompt,
--- a/bench/gateway_log_bench.cc
+++ b/bench/gateway_log_bench.cc
@@ -1,9 +1,13 @@
-// What the gateway's log costs: processor time and bytes a request, with one line for each attempt
-// and without, by two processes in one run that get requests in turn.
+// Measures the processor time and the log bytes per request of the gateway with and without one log
+// line per attempt. Two daemon processes, one of each kind, get requests in turn within one run.
 //
-//   gateway_log_bench --requests=20000                  as fast as they are answered: over the
-//   budget gateway_log_bench --requests=1500 --per_second=30   within it: every attempt has its
-//   line
+// Requests as fast as they are answered, which exceeds the log budget:
+//
+//   gateway_log_bench --requests=20000
+//
+// A rate within the log budget, so that every attempt has its line:
+//
+//   gateway_log_bench --requests=1500 --per_second=30
 
 #include <array>
 #include <chrono>
@@ -31,10 +35,10 @@
 
 using namespace std::chrono_literals;
 
-constexpr int requests_in_turn = 500;
+constexpr int requests_per_turn = 500;
 constexpr double microseconds = 1e6;
 
-// Processor time of the process, all its threads, in seconds.
+// Returns the processor time used by all threads of the daemon's process, in seconds.
 double processor_time(const gateway_process& d)
 {
   clockid_t clock = 0;
@@ -48,7 +52,7 @@
 struct measured_daemon {
   const char* name = "";
   gateway_process* daemon = nullptr;
-  double used = 0; // processor time of its requests, seconds
+  double cpu_seconds = 0; // used while requests were sent to this daemon
   std::size_t bytes_before = 0;
 };
 
@@ -61,25 +65,25 @@
     daemons_[1] = {"without", &fleet_.start_daemon({.log_level = "error"})};
     for (auto& d : daemons_) {
       await_ready(*d.daemon);
-      send(*d.daemon, 1); // connections and caches
+      send(*d.daemon, 1); // opens connections and fills caches before the measurement
       d.bytes_before = d.daemon->running->output().size();
     }
   }
 
   void run(int requests)
   {
-    for (int sent = 0; sent < requests; sent += requests_in_turn) {
+    for (int sent = 0; sent < requests; sent += requests_per_turn) {
       for (auto& d : daemons_) {
         const double before = processor_time(*d.daemon);
-        send(*d.daemon, requests_in_turn);
-        d.used += processor_time(*d.daemon) - before;
+        send(*d.daemon, requests_per_turn);
+        d.cpu_seconds += processor_time(*d.daemon) - before;
       }
     }
     context_.restart();
-    context_.run_for(1s); // the log is written
+    context_.run_for(1s); // lets the daemons write their remaining log lines
     for (const auto& d : daemons_) {
       const auto bytes = d.daemon->running->output().size() - d.bytes_before;
-      std::cout << d.name << " a line for each attempt: " << d.used / requests * microseconds
+      std::cout << d.name << " a line for each attempt: " << d.cpu_seconds / requests * microseconds
                 << " us, " << static_cast<double>(bytes) / requests << " bytes a request\n";
     }
   }
@@ -93,7 +97,7 @@
       try {
         status = fakes::call(context_, client_, d.readiness, {.target = "/ready"}).status;
       } catch (const http::http_error&) {
-        status = 0; // does not listen yet
+        status = 0; // not listening yet
       }
     }
   }
@@ -108,7 +112,7 @@
                                                   {"Request-Id", "r" + std::to_string(++last_)},
                                                   {"Api-Key", "k1"}}});
       if (answer.status != 200) {
-        throw std::runtime_error("a request was answered " + std::to_string(answer.status));
+        throw std::runtime_error("a request failed with status " + std::to_string(answer.status));
       }
       if (per_second_ > 0) {
         context_.restart();
--- a/bench/membership_bench.cc
+++ b/bench/membership_bench.cc
@@ -1,5 +1,6 @@
-// Membership at the planned size: how fast all know that a member leaves or dies, and the bytes by
-// part, time and memory of a daemon.
+// Measures the membership protocol in fleets up to the size that the system is designed for: how
+// fast all daemons learn that a member leaves or has died, and the bytes sent by message part, the
+// processor time and the memory of a daemon.
 //
 //   build/membership_bench --measure=steady,leave,zone,silent,subsets --events=5 --json=out.json
 
@@ -37,7 +38,7 @@
 namespace {
 
 constexpr std::int64_t warm_up_ms = 10'000;
-constexpr std::int64_t leave_limit_ms = 10'000;
+constexpr std::int64_t leave_timeout_ms = 10'000;
 
 using rows = boost::json::array;
 
@@ -46,7 +47,7 @@
   return static_cast<double>(std::clock()) / CLOCKS_PER_SEC;
 }
 
-fleet_options size_of(int daemons)
+fleet_options options_for_size(int daemons)
 {
   // Endpoints and zones in proportion to the planned 390 daemons, 2,500 endpoints, 11 zones.
   return {.daemons = daemons,
@@ -60,8 +61,8 @@
   return std::reduce(bytes.begin(), bytes.end());
 }
 
-// Bytes by part and second of the mean daemon.
-boost::json::object parts_of(const wire_bytes& bytes, int daemons, double seconds)
+// Returns the bytes per second of each message part, as the mean over daemons.
+boost::json::object bytes_per_second_by_part(const wire_bytes& bytes, int daemons, double seconds)
 {
   boost::json::object parts;
   for (std::size_t i = 0; i < bytes.size(); ++i) {
@@ -71,18 +72,18 @@
   return parts;
 }
 
-// The dearest second, on the mean over daemons and at the worst one.
+// The second in which most bytes were sent, and the most that any daemon sent in one second.
 struct peak_bytes {
   int second = 0;
   std::uint64_t worst_daemon = 0;
   wire_bytes bytes{};
 
-  void note(int at_second, const bench_fleet::sent_bytes& sent)
+  void record(int at_second, const bench_fleet::sent_bytes& sent)
   {
-    worst_daemon = std::max(worst_daemon, sent.most);
-    if (sum_of(sent.all) > sum_of(bytes)) {
+    worst_daemon = std::max(worst_daemon, sent.max_per_daemon);
+    if (sum_of(sent.total) > sum_of(bytes)) {
       second = at_second;
-      bytes = sent.all;
+      bytes = sent.total;
     }
   }
 
@@ -90,16 +91,16 @@
   {
     return {{"bytes_mean", sum_of(bytes) / daemons},
             {"at_second", second},
-            {"parts", parts_of(bytes, daemons, 1)},
+            {"parts", bytes_per_second_by_part(bytes, daemons, 1)},
             {"bytes_of_worst_daemon", worst_daemon}};
   }
 };
 
-// Steady state of one size, with `workspaces` in use on every daemon.
+// Measures a fleet without changes in which every daemon serves `workspaces` workspaces.
 void measure_steady(int daemons, int workspaces, rows& out)
 {
   constexpr std::int64_t seconds = 20;
-  auto options = size_of(daemons);
+  auto options = options_for_size(daemons);
   options.workspaces = workspaces;
   const auto heap_before = mallinfo2().uordblks;
   bench_fleet fleet(options);
@@ -110,27 +111,28 @@
   fleet.run_for(seconds * 1000);
   const auto used = cpu_seconds() - cpu;
   const auto sent = fleet.take_bytes();
-  fleet.run_for(15'000); // By now, a daemon never heard would be suspected.
+  fleet.run_for(15'000); // long enough to suspect a daemon without heartbeats
   out.push_back(
       {{"daemons", daemons},
        {"workspaces", workspaces},
-       {"bytes_per_s_mean", sum_of(sent.all) / daemons / seconds},
-       {"bytes_per_s_max", sent.most / seconds},
-       {"parts", parts_of(sent.all, daemons, static_cast<double>(seconds))},
+       {"bytes_per_s_mean", sum_of(sent.total) / daemons / seconds},
+       {"bytes_per_s_max", sent.max_per_daemon / seconds},
+       {"parts", bytes_per_second_by_part(sent.total, daemons, static_cast<double>(seconds))},
        {"cpu_us_per_s", static_cast<int>(used * 1e6 / static_cast<double>(seconds) / daemons)},
        {"heap_kb", heap / 1024 / static_cast<std::size_t>(daemons)},
-       {"wrongly_suspected", fleet.count_opinions().suspected_alive}});
+       {"wrongly_suspected", fleet.count_failure_detections().suspected_alive}});
 }
 
-// Milliseconds until all daemons know of one leaving endpoint though the first told dies.
+// Measures the milliseconds until all daemons know that an endpoint is leaving, when the only
+// daemon that received the notice stops right after its first update.
 void measure_leave(int daemons, double loss, rows& out)
 {
-  auto options = size_of(daemons);
+  auto options = options_for_size(daemons);
   options.loss = loss;
   std::vector<std::int64_t> times;
   int lost = 0;
   const int events = absl::GetFlag(FLAGS_events);
-  // A fleet loses few daemons before the next one is begun.
+  // Each event stops a daemon; a new fleet after 20 events keeps the share of dead daemons low.
   constexpr int events_of_fleet = 20;
   while (std::ssize(times) < events) {
     options.seed += 1000;
@@ -138,11 +140,11 @@
     fleet.run_for(warm_up_ms);
     for (int i = 0; i < events_of_fleet && std::ssize(times) < events; ++i) {
       const member_key key{member_kind::endpoint, "e" + std::to_string(i)};
-      fleet.announce(i, key, 30'000);
+      fleet.mark_leaving(i, key, 30'000);
       fleet.kill(i);
-      const auto ms = fleet.run_until_known(key, leave_limit_ms);
-      lost += fleet.is_lost(key) ? 1 : 0;
-      times.push_back(ms < 0 ? leave_limit_ms : ms);
+      const auto ms = fleet.run_until_known(key, leave_timeout_ms);
+      lost += fleet.is_known_to_none(key) ? 1 : 0;
+      times.push_back(ms < 0 ? leave_timeout_ms : ms);
       fleet.run_for(1500);
     }
   }
@@ -157,10 +159,11 @@
                  {"over_2_s", std::ranges::count_if(times, [](auto ms) { return ms > 2000; })}});
 }
 
-// A zone's instances all get notices, each from a random daemon, within a second; then they die.
+// Measures the loss of a zone: all of its instances get a reclaim notice within one second, each
+// through a daemon picked pseudo-randomly, and its daemons stop ten seconds later.
 void measure_zone_loss(int daemons, rows& out)
 {
-  const auto options = size_of(daemons);
+  const auto options = options_for_size(daemons);
   bench_fleet fleet(options);
   fleet.run_for(warm_up_ms);
   fleet.take_bytes();
@@ -175,26 +178,26 @@
   constexpr std::size_t step_ms = 20;
   constexpr std::size_t wave_steps = 1000 / step_ms;
   std::vector<std::size_t> known_ms;
-  std::set<std::size_t> spreading;
+  std::set<std::size_t> not_yet_known;
   for (std::size_t step = 0; step < 500; ++step) {
-    // All are announced within the first of ten seconds.
+    // All members are marked as leaving within the first of ten seconds.
     const auto announced = [&](std::size_t steps) {
       return std::min(steps * leaving.size() / wave_steps, leaving.size());
     };
     for (auto i = announced(step); i < announced(step + 1); ++i) {
-      fleet.announce(static_cast<int>(i * 7919) % daemons, leaving[i], 10'000);
-      spreading.insert(i);
+      fleet.mark_leaving(static_cast<int>(i * 7919) % daemons, leaving[i], 10'000);
+      not_yet_known.insert(i);
     }
     fleet.run_for(step_ms);
-    std::erase_if(spreading, [&](std::size_t i) {
-      const bool known = fleet.is_known(leaving[i]);
+    std::erase_if(not_yet_known, [&](std::size_t i) {
+      const bool known = fleet.is_known_to_all(leaving[i]);
       if (known) {
         known_ms.push_back((step + 1 - i * wave_steps / leaving.size()) * step_ms);
       }
       return known;
     });
     if (step % wave_steps == wave_steps - 1) {
-      notices.note(static_cast<int>(step / wave_steps) + 1, fleet.take_bytes());
+      notices.record(static_cast<int>(step / wave_steps) + 1, fleet.take_bytes());
     }
   }
   for (int i = 0; i < options.daemons; i += options.zones) {
@@ -204,7 +207,7 @@
   peak_bytes after;
   for (int second = 1; second <= 30; ++second) {
     fleet.run_for(1000);
-    after.note(second, fleet.take_bytes());
+    after.record(second, fleet.take_bytes());
   }
   out.push_back({{"daemons", daemons},
                  {"members_lost", leaving.size()},
@@ -216,10 +219,11 @@
                  {"distinct_views_at_end", fleet.distinct_views()}});
 }
 
-// A zone's daemons die without a word.
+// Measures how all daemons of a zone that stop without notice are suspected and then
+// considered gone.
 void measure_silent_loss(int daemons, rows& out)
 {
-  const auto options = size_of(daemons);
+  const auto options = options_for_size(daemons);
   bench_fleet fleet(options);
   fleet.run_for(warm_up_ms);
   fleet.take_bytes();
@@ -233,8 +237,8 @@
   int wrongly_gone = 0;
   for (int s = 1; s <= 90; ++s) {
     fleet.run_for(1000);
-    peak.note(s, fleet.take_bytes());
-    const auto found = fleet.count_opinions();
+    peak.record(s, fleet.take_bytes());
+    const auto found = fleet.count_failure_detections();
     wrongly_gone = std::max(wrongly_gone, found.gone_alive);
     const auto note = [&](const char* what, bool reached) {
       if (reached) {
@@ -254,10 +258,10 @@
                  {"distinct_views_at_end", fleet.distinct_views()}});
 }
 
-// How evenly endpoints are held.
+// Measures how evenly the endpoints are distributed over the daemons' subsets.
 void measure_subsets(int daemons, rows& out)
 {
-  const auto options = size_of(daemons);
+  const auto options = options_for_size(daemons);
   const auto cpu = cpu_seconds();
   const auto held = bench_subsets(options);
   const auto used = cpu_seconds() - cpu;
@@ -281,7 +285,7 @@
                  {"us_per_daemon", used * 1e6 / daemons}});
 }
 
-void measure_at(const std::string& what, int daemons, rows& out)
+void run_measurement(const std::string& what, int daemons, rows& out)
 {
   if (what == "subsets") {
     measure_subsets(daemons, out);
@@ -307,7 +311,7 @@
     std::printf("\n%s\n", what.c_str());
     for (const auto& size : absl::GetFlag(FLAGS_sizes)) {
       const auto printed = measured.size();
-      measure_at(what, std::stoi(size), measured);
+      run_measurement(what, std::stoi(size), measured);
       for (auto i = printed; i < measured.size(); ++i) {
         std::printf("  %s\n", boost::json::serialize(measured[i]).c_str());
       }
--- a/bench/membership_bench_fleet.cc
+++ b/bench/membership_bench_fleet.cc
@@ -19,7 +19,7 @@
 constexpr std::int64_t one_way_ms = 10;
 constexpr std::int64_t timeout_ms = 500;
 constexpr std::int64_t epoch_ms = 1'700'000'000'000;
-// HTTP/2 and gRPC framing with indexed headers, for a request or a reply.
+// HTTP/2 and gRPC framing of one request or reply with indexed headers.
 constexpr std::size_t framing_bytes = 40;
 
 clock_reading at(std::int64_t ms)
@@ -32,12 +32,12 @@
   return prefix + std::to_string(i);
 }
 
-int number_of(const daemon_id& id)
+int index_of(const daemon_id& id)
 {
   return std::stoi(id.value().substr(1));
 }
 
-// Bytes of repeated sub-messages, each with its tag and a length of one byte or two.
+// Returns the bytes of repeated sub-messages, each with its tag and a length of one or two bytes.
 template <typename Messages> std::uint64_t size_of_all(const Messages& messages)
 {
   std::uint64_t bytes = 0;
@@ -55,17 +55,20 @@
     bytes.at(static_cast<std::size_t>(part)) += n;
     return n;
   };
-  auto rest = out.ByteSizeLong() + framing_bytes;
-  rest -= add(wire_part::buckets, 4 * static_cast<std::uint64_t>(out.view_buckets_size()));
-  rest -= add(wire_part::usage, size_of_all(out.usage()));
-  rest -= add(wire_part::loads, size_of_all(out.loads()));
-  const auto plain = message.kind == gossip_kind::urgent ? wire_part::urgent : wire_part::news;
-  rest -= add(is_repair ? wire_part::repair : plain, size_of_all(out.members()));
-  auto without = out;
-  without.clear_heartbeat_hashes();
-  without.clear_heartbeat_counters();
-  rest -= add(wire_part::heartbeats, out.ByteSizeLong() - without.ByteSizeLong());
-  add(wire_part::headers, rest);
+  auto remaining_bytes = out.ByteSizeLong() + framing_bytes;
+  remaining_bytes -=
+      add(wire_part::buckets, 4 * static_cast<std::uint64_t>(out.view_buckets_size()));
+  remaining_bytes -= add(wire_part::usage, size_of_all(out.usage()));
+  remaining_bytes -= add(wire_part::loads, size_of_all(out.loads()));
+  const auto default_part =
+      message.kind == gossip_kind::urgent ? wire_part::urgent : wire_part::exchange;
+  remaining_bytes -= add(is_repair ? wire_part::repair : default_part, size_of_all(out.members()));
+  auto without_heartbeats = out;
+  without_heartbeats.clear_heartbeat_hashes();
+  without_heartbeats.clear_heartbeat_counters();
+  remaining_bytes -=
+      add(wire_part::heartbeats, out.ByteSizeLong() - without_heartbeats.ByteSizeLong());
+  add(wire_part::headers, remaining_bytes);
 }
 
 } // namespace
@@ -120,7 +123,7 @@
 }
 
 bench_fleet::bench_fleet(const fleet_options& options)
-    : options_(options), random_(options.seed), held_(bench_subsets(options))
+    : options_(options), random_(options.seed), reached_endpoints_(bench_subsets(options))
 {
   std::vector<member> list;
   list.reserve(options.endpoints);
@@ -145,24 +148,26 @@
   }
   n.view->apply_list(list, at(0));
   n.gossip = std::make_unique<gossiper>(
-      gossip_options{
-          .seed = options_.seed * 1'000'003 + static_cast<std::uint64_t>(i),
-          .usage = {.self = id, .zone = self.attributes.zone},
-          .is_in_subset = [this](const daemon_id& d,
-                                 const endpoint_id& e) { return held_[number_of(d)].contains(e); }},
+      gossip_options{.seed = options_.seed * 1'000'003 + static_cast<std::uint64_t>(i),
+                     .usage = {.self = id, .zone = self.attributes.zone},
+                     .is_in_subset =
+                         [this](const daemon_id& d, const endpoint_id& e) {
+                           return reached_endpoints_[index_of(d)].contains(e);
+                         }},
       *n.view, at(0));
   for (int w = 0; w < options_.workspaces; ++w) {
     n.gossip->usage().set_local_usage(workspace_id{name_of("workspace-", w)}, 700, 3);
   }
-  for (const auto& e : held_[i]) {
+  for (const auto& e : reached_endpoints_[i]) {
     n.gossip->set_load(
         {.endpoint = e, .running = 9, .waiting = 2, .kv_used = 0.5, .measured_at = at(0).wall});
   }
   nodes_.push_back(std::move(n));
 }
 
-// A lost message, or one to a dead daemon, is noticed by its sender after a timeout.
-void bench_fleet::post(delivery d)
+// Schedules the delivery of a message unless it is lost. The sender of a message to a dead daemon
+// learns of the failure after timeout_ms; the sender of a lost message does not.
+void bench_fleet::enqueue(delivery d)
 {
   count(d.message, d.is_repair, nodes_[d.from].bytes);
   const bool lost = std::uniform_real_distribution<>(0, 1)(random_) < options_.loss;
@@ -174,7 +179,7 @@
 void bench_fleet::send(int from, std::vector<outgoing_gossip> messages)
 {
   for (auto& m : messages) {
-    post({.from = from, .to = number_of(m.to), .message = std::move(m.message)});
+    enqueue({.from = from, .to = index_of(m.to), .message = std::move(m.message)});
   }
 }
 
@@ -190,11 +195,11 @@
     return;
   }
   auto response = to.gossip->receive(d.message, at(now_ms_));
-  post({.from = d.to,
-        .to = d.from,
-        .is_reply = true,
-        .is_repair = !d.message.view_buckets.empty(),
-        .message = std::move(response.reply)});
+  enqueue({.from = d.to,
+           .to = d.from,
+           .is_reply = true,
+           .is_repair = !d.message.view_buckets.empty(),
+           .message = std::move(response.reply)});
   send(d.to, std::move(response.pushes));
 }
 
@@ -212,7 +217,7 @@
       if (!n.alive) {
         continue;
       }
-      // Each daemon's once-a-second duties fall at a time of its own.
+      // The once-a-second work of the daemons is spread over the second.
       if ((now_ms_ / step_ms + i) % (1000 / step_ms) == 0) {
         n.view->tick(at(now_ms_));
       }
@@ -223,7 +228,7 @@
   }
 }
 
-void bench_fleet::announce(int daemon, const member_key& key, std::int64_t reclaim_in_ms)
+void bench_fleet::mark_leaving(int daemon, const member_key& key, std::int64_t reclaim_in_ms)
 {
   auto& n = nodes_[daemon];
   n.view->mark_leaving(key, at(now_ms_ + reclaim_in_ms).wall, at(now_ms_));
@@ -235,14 +240,14 @@
   nodes_[daemon].alive = false;
 }
 
-bool bench_fleet::is_known(const member_key& key) const
+bool bench_fleet::is_known_to_all(const member_key& key) const
 {
   return std::ranges::all_of(nodes_, [&](const node& n) {
     return !n.alive || n.view->find(key)->state != member_state::live;
   });
 }
 
-bool bench_fleet::is_lost(const member_key& key) const
+bool bench_fleet::is_known_to_none(const member_key& key) const
 {
   return std::ranges::all_of(nodes_, [&](const node& n) {
     return !n.alive || n.view->find(key)->state == member_state::live;
@@ -253,7 +258,7 @@
 {
   const auto begin = now_ms_;
   for (; now_ms_ - begin < limit_ms; run_for(step_ms)) {
-    if (is_known(key)) {
+    if (is_known_to_all(key)) {
       return now_ms_ - begin;
     }
   }
@@ -276,8 +281,8 @@
   sent_bytes sent;
   for (node& n : nodes_) {
     const auto bytes = std::exchange(n.bytes, {});
-    std::ranges::transform(bytes, sent.all, sent.all.begin(), std::plus{});
-    sent.most = std::max(sent.most, std::reduce(bytes.begin(), bytes.end()));
+    std::ranges::transform(bytes, sent.total, sent.total.begin(), std::plus{});
+    sent.max_per_daemon = std::max(sent.max_per_daemon, std::reduce(bytes.begin(), bytes.end()));
   }
   return sent;
 }
@@ -287,9 +292,9 @@
   return static_cast<int>(std::ranges::count_if(nodes_, &node::alive));
 }
 
-bench_fleet::opinions bench_fleet::count_opinions() const
+bench_fleet::failure_detections bench_fleet::count_failure_detections() const
 {
-  opinions found;
+  failure_detections found;
   for (const node& n : nodes_) {
     if (!n.alive) {
       continue;
--- a/bench/membership_bench_fleet.h
+++ b/bench/membership_bench_fleet.h
@@ -1,4 +1,9 @@
-// A fleet of pure daemons in one process, with simulated time, lost messages and dead daemons.
+// Simulates the membership protocol of a fleet in one process: the membership view and gossiper of
+// each daemon on a simulated clock, with lost messages and daemons that stop without notice.
+//
+//   bench_fleet fleet({.daemons = 50, .endpoints = 300});
+//   fleet.run_for(10'000);
+//   const auto sent = fleet.take_bytes();
 
 #ifndef WISTERIAFLOW_BENCH_MEMBERSHIP_BENCH_FLEET_H_
 #define WISTERIAFLOW_BENCH_MEMBERSHIP_BENCH_FLEET_H_
@@ -25,12 +30,13 @@
   std::uint64_t seed = 1;
 };
 
-// Parts of messages: framing with names and versions; records in urgent pushes, in exchanges and in
-// replies to who asked for repair; the views' parts' hashes of who asks.
+// Parts of a gossip message for which bytes are counted. `headers` is framing, ids and versions.
+// `urgent`, `exchange` and `repair` are member records in urgent updates, in regular exchanges and
+// in replies to repair requests. `buckets` are the view's partial hashes in a repair request.
 enum class wire_part : std::uint8_t {
   headers,
   urgent,
-  news,
+  exchange,
   repair,
   buckets,
   heartbeats,
@@ -40,47 +46,51 @@
 inline constexpr std::array wire_part_names = {"headers", "urgent",     "news",  "repair",
                                                "buckets", "heartbeats", "usage", "loads"};
 
-// Bytes of each part, as protobuf and HTTP/2 would carry them.
+// Bytes of each wire_part, in protobuf encoding with HTTP/2 framing.
 using wire_bytes = std::array<std::uint64_t, wire_part_names.size()>;
 
 class bench_fleet {
  public:
   explicit bench_fleet(const fleet_options& options);
 
-  // Runs the daemons' timers and delivers messages, each 10 ms after it was sent.
+  // Advances the clock, running the daemons' timers and delivering each message 10 ms after it was
+  // sent.
   void run_for(std::int64_t ms);
 
-  // Tells `daemon` that a member leaves; it sends its first push.
-  void announce(int daemon, const member_key& key, std::int64_t reclaim_in_ms);
+  // Marks a member as leaving in the view of `daemon`, which sends its first urgent update.
+  void mark_leaving(int daemon, const member_key& key, std::int64_t reclaim_in_ms);
   void kill(int daemon);
 
-  // Whether every daemon alive knows that the member leaves.
-  [[nodiscard]] bool is_known(const member_key& key) const;
+  // Returns whether every running daemon knows that the member is leaving.
+  [[nodiscard]] bool is_known_to_all(const member_key& key) const;
 
-  // Whether no daemon alive does.
-  [[nodiscard]] bool is_lost(const member_key& key) const;
+  // Returns whether no running daemon knows that the member is leaving.
+  [[nodiscard]] bool is_known_to_none(const member_key& key) const;
 
-  // Milliseconds until every daemon alive knows that the member leaves; -1 if not within `limit`.
+  // Runs until every running daemon knows that the member is leaving. Returns the milliseconds that
+  // this took, or -1 after `limit_ms`.
   std::int64_t run_until_known(const member_key& key, std::int64_t limit_ms);
 
-  // Views among daemons alive that differ, by hash.
+  // Returns the number of different view hashes among the running daemons.
   [[nodiscard]] std::size_t distinct_views() const;
 
-  // Bytes sent since the last call: by all daemons, and by the one that sent most.
+  // Bytes sent since the last call of take_bytes: by all daemons together, and by the one that sent
+  // most.
   struct sent_bytes {
-    wire_bytes all{};
-    std::uint64_t most = 0;
+    wire_bytes total{};
+    std::uint64_t max_per_daemon = 0;
   };
   sent_bytes take_bytes();
 
-  // Pairs of a daemon alive and a peer that it suspects, and that it takes for gone.
-  struct opinions {
+  // Numbers of pairs of a running daemon and a peer that it suspects or considers gone, by whether
+  // that peer is in fact alive or dead.
+  struct failure_detections {
     int suspected_alive = 0;
     int suspected_dead = 0;
     int gone_alive = 0;
     int gone_dead = 0;
   };
-  [[nodiscard]] opinions count_opinions() const;
+  [[nodiscard]] failure_detections count_failure_detections() const;
   [[nodiscard]] int alive() const;
 
  private:
@@ -94,30 +104,30 @@
     int from = 0;
     int to = 0;
     bool is_reply = false;
-    // A reply to who asked for repair.
+    // Set on a reply to a repair request.
     bool is_repair = false;
     gossip_message message;
   };
 
   void add_node(int i, const std::vector<member>& list);
   void send(int from, std::vector<outgoing_gossip> messages);
-  void post(delivery d);
+  void enqueue(delivery d);
   void deliver(const delivery& d);
 
   fleet_options options_;
   std::mt19937_64 random_;
   std::vector<node> nodes_;
-  // The endpoints that each daemon reaches.
-  std::vector<std::set<endpoint_id>> held_;
+  // The endpoints in each daemon's subset, by daemon.
+  std::vector<std::set<endpoint_id>> reached_endpoints_;
   std::multimap<std::int64_t, delivery> in_flight_;
   std::int64_t now_ms_ = 0;
 };
 
-// The members of a fleet: daemon "d12" and endpoint "e345" with lasting attributes.
+// Return the member records of the fleet, such as daemon "d12" and endpoint "e345".
 [[nodiscard]] member bench_daemon(int i, const fleet_options& options);
 [[nodiscard]] member bench_endpoint(int i, const fleet_options& options);
 
-// The subset of each daemon.
+// Returns the endpoint subset of each daemon.
 [[nodiscard]] std::vector<std::set<endpoint_id>> bench_subsets(const fleet_options& options);
 
 } // namespace wisteriaflow::membership
--- a/bench/path_bench.cc
+++ b/bench/path_bench.cc
@@ -1,9 +1,11 @@
-// What the path through one daemon costs against a direct call to the same endpoint, in one run.
+// Measures the latency that one daemon adds to a call, compared with a direct call to the same
+// endpoint in the same run. Also measures the daemon's throughput, its processor time and its
+// memory.
 //
 //   path_bench --daemon=IP:PORT --daemon_pid=N --engine=IP:PORT --service=IP:PORT
 //
-// bench/run-path.sh starts what it needs. Prints a table and one line of JSON. Direct and routed
-// calls alternate, so that the machine's other load weighs on both.
+// bench/run-path.sh starts the daemons and fakes that it needs. Prints a table and one line of
+// JSON. Direct and routed calls alternate, so that other load on the machine affects both alike.
 
 #include <unistd.h>
 
@@ -45,9 +47,9 @@
 using clock_type = std::chrono::steady_clock;
 
 constexpr std::chrono::seconds call_timeout{20};
-constexpr int few_tokens = 4;
+constexpr int stream_tokens = 4;
 
-// CPU seconds and resident bytes of a process, from /proc.
+// CPU time, resident memory and threads of a process, from /proc.
 struct process_usage {
   double cpu_seconds = 0;
   double resident_mb = 0;
@@ -113,7 +115,7 @@
   return std::chrono::duration<double, std::milli>(clock_type::now() - start).count();
 }
 
-// One call's time in milliseconds.
+// Sends one request and returns the milliseconds until its complete response.
 asio::awaitable<double> timed_call(http::client& client, http::socket_address to, http::request r)
 {
   const auto start = clock_type::now();
@@ -125,7 +127,7 @@
   co_return milliseconds_since(start);
 }
 
-// One streamed call's time to its first byte of the body.
+// Sends one request and returns the milliseconds until the first byte of the streamed body.
 asio::awaitable<double> timed_stream(http::client& client, http::socket_address to, http::request r)
 {
   const auto start = clock_type::now();
@@ -144,24 +146,24 @@
   std::vector<double> routed;
 };
 
-asio::awaitable<void> alternate(http::client& client, samples& service, samples& stream)
+asio::awaitable<void> alternate_calls(http::client& client, samples& service, samples& stream)
 {
   const auto daemon = http::parse_socket_address(absl::GetFlag(FLAGS_daemon));
   const auto engine = http::parse_socket_address(absl::GetFlag(FLAGS_engine));
-  const auto desk = http::parse_socket_address(absl::GetFlag(FLAGS_service));
+  const auto service_address = http::parse_socket_address(absl::GetFlag(FLAGS_service));
   for (int i = 0; i < absl::GetFlag(FLAGS_calls); ++i) {
     auto direct = service_call("/rooms/412");
-    service.direct.push_back(co_await timed_call(client, desk, std::move(direct)));
+    service.direct.push_back(co_await timed_call(client, service_address, std::move(direct)));
     auto routed = service_call("/services/deliveries/rooms/412");
     service.routed.push_back(co_await timed_call(client, daemon, std::move(routed)));
-    auto direct_stream = completion_call(true, few_tokens);
+    auto direct_stream = completion_call(true, stream_tokens);
     stream.direct.push_back(co_await timed_stream(client, engine, std::move(direct_stream)));
-    auto routed_stream = completion_call(true, few_tokens);
+    auto routed_stream = completion_call(true, stream_tokens);
     stream.routed.push_back(co_await timed_stream(client, daemon, std::move(routed_stream)));
   }
 }
 
-asio::awaitable<void> keep_calling(http::client& client, clock_type::time_point end, int& done)
+asio::awaitable<void> generate_load(http::client& client, clock_type::time_point end, int& done)
 {
   const auto daemon = http::parse_socket_address(absl::GetFlag(FLAGS_daemon));
   while (clock_type::now() < end) {
@@ -215,7 +217,7 @@
   http::client client(context);
   samples service;
   samples stream;
-  asio::co_spawn(context, alternate(client, service, stream), rethrow);
+  asio::co_spawn(context, alternate_calls(client, service, stream), rethrow);
   context.run();
   boost::json::object out{{"idle_cpu_percent", idle_percent},
                           {"idle_resident_mb", idle_end.resident_mb},
@@ -229,7 +231,7 @@
   const auto end = start + std::chrono::seconds(absl::GetFlag(FLAGS_load_seconds));
   int done = 0;
   for (int i = 0; i < absl::GetFlag(FLAGS_connections); ++i) {
-    asio::co_spawn(context, keep_calling(client, end, done), rethrow);
+    asio::co_spawn(context, generate_load(client, end, done), rethrow);
   }
   context.run();
   const auto after = read_usage(pid);
--- a/bench/policy_bench.cc
+++ b/bench/policy_bench.cc
@@ -1,6 +1,7 @@
-// Measures the routing and admission policies against plain ones, each rule switched off alone,
-// and the time and memory of a decision at the planned size. Prints a table; --json=FILE writes
-// every figure. The seeds are fixed and printed.
+// Compares the routing and admission policy with simple policies and with variants of itself that
+// have one rule disabled each, and measures the time and memory of a decision at the size that the
+// system is designed for. Prints a table; --json=FILE writes all results. The seeds are fixed and
+// printed.
 //
 //   policy_bench --json=policy.json
 
@@ -30,7 +31,7 @@
 
 engine_spec make_engine(int i, int zone, const std::string& kind)
 {
-  // Prices differ by zone and class; the larger class is faster and dearer for its speed.
+  // Prices differ by zone and class. The large class is faster, but costs more per unit of speed.
   constexpr double zone_price[] = {1.0, 0.9, 1.1, 1.25};
   const bool large = i % 3 == 0;
   engine_spec it;
@@ -70,17 +71,17 @@
   return {{.name = "authority",
            .models = make_engines(9, "model"),
            .services = make_services(4),
-           .workspaces = {0.35, 0.3, 0.2, 0.1, 0.05},
+           .workspace_shares = {0.35, 0.3, 0.2, 0.1, 0.05},
            .sessions_per_second = 5.0,
-           .between_zones = 0.0005,
+           .between_zones_seconds = 0.0005,
            .price_preference = 0.1},
           {.name = "association",
            .models = make_engines(18, "model"),
            .services = make_services(4),
            .daemons = 8,
-           .workspaces = {0.35, 0.3, 0.2, 0.1, 0.05},
+           .workspace_shares = {0.35, 0.3, 0.2, 0.1, 0.05},
            .sessions_per_second = 10.0,
-           .between_zones = 0.001,
+           .between_zones_seconds = 0.001,
            .price_preference = 0.5}};
 }
 
@@ -90,12 +91,12 @@
           {.name = "burst", .burst = true},
           {.name = "zone-loss", .zone_loss = true},
           {.name = "second-wave", .zone_loss = true, .second_wave = true},
-          {.name = "peak", .load = 1.6},
-          {.name = "overload", .load = 1.9},
+          {.name = "peak", .load_factor = 1.6},
+          {.name = "overload", .load_factor = 1.9},
           {.name = "late-reports", .report_lag = 4},
-          {.name = "many-daemons", .load = 1.6, .report_lag = 4, .daemons = 32},
-          {.name = "events-lost", .load = 1.3, .event_loss = 0.2, .cache = 0.3},
-          {.name = "nightly", .nightly = true}};
+          {.name = "many-daemons", .load_factor = 1.6, .report_lag = 4, .daemons = 32},
+          {.name = "events-lost", .load_factor = 1.3, .event_loss = 0.2, .cache_factor = 0.3},
+          {.name = "nightly", .nightly_batch = true}};
 }
 
 std::vector<variant_options> baselines()
@@ -123,73 +124,77 @@
           {.name = "no limits", .limits = false},
           {.name = "no lending", .lend = false},
           {.name = "no deadline refusal", .deadline_refusal = false},
-          {.name = "batch not giving way", .batch_gives_way = false},
+          {.name = "batch not giving way", .batch_shed = false},
           {.name = "with hedging", .hedge = true}};
 }
 
-figures mean_of(const std::vector<figures>& runs)
+run_metrics mean_of(const std::vector<run_metrics>& runs)
 {
-  figures f;
+  run_metrics f;
   const auto n = static_cast<double>(runs.size());
   for (const auto& it : runs) {
     f.offered += it.offered;
-    f.turned_away += it.turned_away;
-    f.given_up += it.given_up;
+    f.refusals += it.refusals;
+    f.abandoned += it.abandoned;
     f.hedged += it.hedged;
     f.within_target += it.within_target / n;
     f.within_deadline += it.within_deadline / n;
-    f.worst_workspace += it.worst_workspace / n;
+    f.worst_workspace_within_target += it.worst_workspace_within_target / n;
     f.p50 += it.p50 / n;
     f.p95 += it.p95 / n;
     f.p99 += it.p99 / n;
     f.service_p50 += it.service_p50 / n;
-    f.recomputed += it.recomputed / n;
-    f.cost += it.cost / n;
-    f.busy += it.busy / n;
-    f.batch_tokens += it.batch_tokens / n;
+    f.recomputed_kilotokens += it.recomputed_kilotokens / n;
+    f.cost_per_million_tokens += it.cost_per_million_tokens / n;
+    f.prefill_utilisation += it.prefill_utilisation / n;
+    f.batch_kilotokens += it.batch_kilotokens / n;
   }
   return f;
 }
 
-boost::json::object to_json(const deployment& where, const condition& what,
-                            const variant_options& how, const figures& f)
+boost::json::object to_json(const deployment& fleet_deployment, const condition& run_condition,
+                            const variant_options& variant, const run_metrics& f)
 {
-  return {{"deployment", where.name},
-          {"condition", what.name},
-          {"policy", how.name},
+  return {{"deployment", fleet_deployment.name},
+          {"condition", run_condition.name},
+          {"policy", variant.name},
           {"offered", f.offered},
-          {"turned_away", f.turned_away},
-          {"given_up", f.given_up},
+          {"turned_away", f.refusals},
+          {"given_up", f.abandoned},
           {"hedged", f.hedged},
           {"within_target", f.within_target},
           {"within_deadline", f.within_deadline},
-          {"worst_workspace_within_target", f.worst_workspace},
+          {"worst_workspace_within_target", f.worst_workspace_within_target},
           {"first_token_p50_s", f.p50},
           {"first_token_p95_s", f.p95},
           {"first_token_p99_s", f.p99},
           {"service_p50_ms", f.service_p50},
-          {"recomputed_kilotokens", f.recomputed},
-          {"cost_per_million_tokens", f.cost},
-          {"prefill_busy", f.busy},
-          {"batch_kilotokens", f.batch_tokens}};
+          {"recomputed_kilotokens", f.recomputed_kilotokens},
+          {"cost_per_million_tokens", f.cost_per_million_tokens},
+          {"prefill_busy", f.prefill_utilisation},
+          {"batch_kilotokens", f.batch_kilotokens}};
 }
 
-boost::json::object measure(const deployment& where, const condition& what,
-                            const variant_options& how)
+boost::json::object measure(const deployment& fleet_deployment, const condition& run_condition,
+                            const variant_options& variant)
 {
-  auto deployed = where;
-  deployed.daemons = what.daemons > 0 ? what.daemons : where.daemons;
+  auto deployed = fleet_deployment;
+  deployed.daemons = run_condition.daemons > 0 ? run_condition.daemons : fleet_deployment.daemons;
   for (auto& it : deployed.models) {
-    it.cache_blocks = static_cast<std::size_t>(static_cast<double>(it.cache_blocks) * what.cache);
+    it.cache_blocks =
+        static_cast<std::size_t>(static_cast<double>(it.cache_blocks) * run_condition.cache_factor);
   }
-  std::vector<std::future<figures>> running;
+  std::vector<std::future<run_metrics>> running;
   running.reserve(std::size(seeds));
   for (const auto seed : seeds) {
     running.push_back(std::async(std::launch::async, [&, seed] {
-      return run_fleet({.where = deployed, .what = what, .how = how, .seed = seed});
+      return run_fleet({.fleet_deployment = deployed,
+                        .run_condition = run_condition,
+                        .variant = variant,
+                        .seed = seed});
     }));
   }
-  std::vector<figures> runs;
+  std::vector<run_metrics> runs;
   runs.reserve(running.size());
   for (auto& it : running) {
     runs.push_back(it.get());
@@ -197,16 +202,17 @@
   const auto f = mean_of(runs);
   std::printf("%-11s %-12s %-20s %5.1f %5.1f %5.1f %6.2f %6.2f %6.2f %7.2f %8.0f %7.3f %4.0f %6d "
               "%5d %6d %7.0f\n",
-              where.name.c_str(), what.name.c_str(), how.name.c_str(), 100 * f.within_target,
-              100 * f.within_deadline, 100 * f.worst_workspace, f.p50, f.p95, f.p99, f.service_p50,
-              f.recomputed, f.cost, 100 * f.busy, f.turned_away, f.given_up, f.hedged,
-              f.batch_tokens);
+              fleet_deployment.name.c_str(), run_condition.name.c_str(), variant.name.c_str(),
+              100 * f.within_target, 100 * f.within_deadline, 100 * f.worst_workspace_within_target,
+              f.p50, f.p95, f.p99, f.service_p50, f.recomputed_kilotokens,
+              f.cost_per_million_tokens, 100 * f.prefill_utilisation, f.refusals, f.abandoned,
+              f.hedged, f.batch_kilotokens);
   std::fflush(stdout);
-  return to_json(where, what, how, f);
+  return to_json(fleet_deployment, run_condition, variant, f);
 }
 
-// `flag` is a comma-separated list; empty means all.
-bool wanted(const std::string& flag, const std::string& name)
+// Returns whether `name` is in the comma-separated list `flag`; an empty list selects all.
+bool is_selected(const std::string& flag, const std::string& name)
 {
   return flag.empty() || ("," + flag + ",").find("," + name + ",") != std::string::npos;
 }
@@ -217,15 +223,15 @@
               "where", "condition", "policy", "in%", "dl%", "worst", "p50 s", "p95 s", "p99 s",
               "call ms", "again k", "cost/M", "busy", "turned", "gave", "hedged", "batch k");
   boost::json::array rows;
-  for (const auto& where : deployments()) {
-    for (const auto& what : conditions()) {
-      if (!wanted(absl::GetFlag(FLAGS_deployment), where.name) ||
-          !wanted(absl::GetFlag(FLAGS_condition), what.name)) {
+  for (const auto& fleet_deployment : deployments()) {
+    for (const auto& run_condition : conditions()) {
+      if (!is_selected(absl::GetFlag(FLAGS_deployment), fleet_deployment.name) ||
+          !is_selected(absl::GetFlag(FLAGS_condition), run_condition.name)) {
         continue;
       }
-      for (const auto& how : variants) {
-        if (wanted(absl::GetFlag(FLAGS_policy), how.name)) {
-          rows.push_back(measure(where, what, how));
+      for (const auto& variant : variants) {
+        if (is_selected(absl::GetFlag(FLAGS_policy), variant.name)) {
+          rows.push_back(measure(fleet_deployment, run_condition, variant));
         }
       }
     }
@@ -238,13 +244,13 @@
   std::printf("seeds 11 12 13\n");
   boost::json::object all;
   const auto part = absl::GetFlag(FLAGS_part);
-  if (wanted(part, "baselines")) {
+  if (is_selected(part, "baselines")) {
     all["baselines"] = compare(baselines());
   }
-  if (wanted(part, "ablations")) {
+  if (is_selected(part, "ablations")) {
     all["ablations"] = compare(ablations());
   }
-  if (wanted(part, "scale")) {
+  if (is_selected(part, "scale")) {
     all["scale"] = measure_scale();
   }
   if (const auto file = absl::GetFlag(FLAGS_json); !file.empty()) {
--- a/bench/policy_bench_engine.cc
+++ b/bench/policy_bench_engine.cc
@@ -6,7 +6,7 @@
 namespace wisteriaflow::bench {
 namespace {
 
-// Prefill shares the engine with decoding: at a full batch it has this part less.
+// Prefill shares the engine with decoding. With a full batch its rate is lower by this share.
 constexpr double prefill_loss_at_full_batch = 0.3;
 constexpr double seconds_per_hour = 3600;
 
@@ -22,12 +22,12 @@
   return std::chrono::duration<double>(d).count();
 }
 
-void event_list::at(mono_time when, std::function<void()> run)
+void event_queue::schedule(mono_time when, std::function<void()> run)
 {
   events_.push({.when = std::max(when, now_), .sequence = sequence_++, .run = std::move(run)});
 }
 
-void event_list::run_until(mono_time end)
+void event_queue::run_until(mono_time end)
 {
   while (!events_.empty() && events_.top().when <= end) {
     const auto next = events_.top();
@@ -51,11 +51,11 @@
 
 void engine::stop()
 {
-  ++life_;
+  ++incarnation_;
   waiting_.clear();
   prefilling_ = false;
   decoding_ = 0;
-  recent_.clear();
+  lru_blocks_.clear();
   cache_.clear();
   cache_events_.clear();
 }
@@ -82,22 +82,22 @@
 
 void engine::store(std::span<const std::uint64_t> blocks)
 {
-  // Last block first, so that a prefix outlives what follows it.
+  // Last block first, so that a prefix is evicted after the blocks that follow it.
   for (auto it = blocks.rbegin(); it != blocks.rend(); ++it) {
     if (const auto found = cache_.find(*it); found != cache_.end()) {
-      recent_.splice(recent_.begin(), recent_, found->second);
+      lru_blocks_.splice(lru_blocks_.begin(), lru_blocks_, found->second);
       continue;
     }
-    recent_.push_front(*it);
-    cache_.emplace(*it, recent_.begin());
+    lru_blocks_.push_front(*it);
+    cache_.emplace(*it, lru_blocks_.begin());
     cache_events_.push_back({.sequence = next_sequence_++, .prefix_hash = *it});
   }
   while (cache_.size() > spec_.cache_blocks) {
     cache_events_.push_back({.sequence = next_sequence_++,
-                             .prefix_hash = recent_.back(),
+                             .prefix_hash = lru_blocks_.back(),
                              .kind = routing::cache_event::kind::evicted});
-    cache_.erase(recent_.back());
-    recent_.pop_back();
+    cache_.erase(lru_blocks_.back());
+    lru_blocks_.pop_back();
   }
 }
 
@@ -115,12 +115,12 @@
   const double elapsed = (work.prompt_tokens - cached) / rate + spec_.service_seconds;
   busy_seconds_ += elapsed;
   cost_ += elapsed * spec_.description.price_per_hour / seconds_per_hour;
-  events_.at(events_.now() + from_seconds(elapsed),
-             [this, work = std::move(work), cached, life = life_] {
-               if (life == life_) {
-                 begin_decoding(work, cached);
-               }
-             });
+  events_.schedule(events_.now() + from_seconds(elapsed),
+                   [this, work = std::move(work), cached, incarnation = incarnation_] {
+                     if (incarnation == incarnation_) {
+                       begin_decoding(work, cached);
+                     }
+                   });
 }
 
 void engine::begin_decoding(const attempt& work, int cached_tokens)
@@ -131,15 +131,15 @@
   const double elapsed =
       work.output_tokens * spec_.token_seconds * (1 + spec_.batch_slowdown * (decoding_ - 1));
   cost_ += elapsed / spec_.max_running * spec_.description.price_per_hour / seconds_per_hour;
-  events_.at(events_.now() + from_seconds(elapsed),
-             [this, on_finished = work.on_finished, life = life_] {
-               if (life != life_) {
-                 return;
-               }
-               --decoding_;
-               on_finished();
-               start_next();
-             });
+  events_.schedule(events_.now() + from_seconds(elapsed),
+                   [this, on_finished = work.on_finished, incarnation = incarnation_] {
+                     if (incarnation != incarnation_) {
+                       return;
+                     }
+                     --decoding_;
+                     on_finished();
+                     start_next();
+                   });
   work.on_first_token(cached_tokens);
   start_next();
 }
--- a/bench/policy_bench_figures.cc
+++ b/bench/policy_bench_figures.cc
@@ -30,22 +30,22 @@
 
 } // namespace
 
-bool is_measured(const condition& what, const request_spec& request)
+bool is_measured(const condition& run_condition, const request_spec& request)
 {
-  const bool event = what.zone_loss || what.burst || what.nightly;
-  return request.arrival >= start + from_seconds(event ? event_at : warm_up_seconds);
+  const bool event = run_condition.zone_loss || run_condition.burst || run_condition.nightly_batch;
+  return request.arrival >= start + from_seconds(event ? event_at_seconds : warm_up_seconds);
 }
 
-figures summarise(const run_options& options, std::span<const outcome> outcomes)
+run_metrics summarise(const run_options& options, std::span<const outcome> outcomes)
 {
-  figures f;
+  run_metrics f;
   std::vector<double> latencies;
   std::vector<double> calls;
-  std::vector<workspace_count> workspaces(options.where.workspaces.size());
+  std::vector<workspace_count> workspaces(options.fleet_deployment.workspace_shares.size());
   int in_time = 0;
   for (const auto& it : outcomes) {
     const auto& request = *it.request;
-    if (!is_measured(options.what, request) || request.kind == request_kind::batch) {
+    if (!is_measured(options.run_condition, request) || request.kind == request_kind::batch) {
       continue;
     }
     if (request.kind == request_kind::service) {
@@ -53,21 +53,22 @@
       continue;
     }
     latencies.push_back(it.first_token);
-    f.given_up += it.first_token == never ? 1 : 0;
-    in_time += it.first_token <= options.where.deadline_seconds ? 1 : 0;
+    f.abandoned += it.first_token == never ? 1 : 0;
+    in_time += it.first_token <= options.fleet_deployment.deadline_seconds ? 1 : 0;
     auto& count = workspaces[request.workspace];
-    count.within_target += it.first_token <= options.where.target_seconds ? 1 : 0;
+    count.within_target += it.first_token <= options.fleet_deployment.target_seconds ? 1 : 0;
     ++count.offered;
   }
   f.offered = static_cast<int>(latencies.size());
-  f.worst_workspace = 1;
+  f.worst_workspace_within_target = 1;
   int within_all = 0;
   for (std::size_t i = 0; i < workspaces.size(); ++i) {
     const auto& count = workspaces[i];
     within_all += count.within_target;
-    const bool bursts = options.what.burst && i == bursting_workspace;
+    const bool bursts = options.run_condition.burst && i == bursting_workspace;
     if (count.offered > 0 && !bursts) {
-      f.worst_workspace = std::min(f.worst_workspace, share(count.within_target, count.offered));
+      f.worst_workspace_within_target =
+          std::min(f.worst_workspace_within_target, share(count.within_target, count.offered));
     }
   }
   f.within_target = share(within_all, f.offered);
--- a/bench/policy_bench_figures.h
+++ b/bench/policy_bench_figures.h
@@ -1,4 +1,4 @@
-// Sums up what became of the requests of a run.
+// Computes latency percentiles and success rates from the outcomes of a run's requests.
 
 #ifndef WISTERIAFLOW_BENCH_POLICY_BENCH_FIGURES_H_
 #define WISTERIAFLOW_BENCH_POLICY_BENCH_FIGURES_H_
@@ -13,17 +13,20 @@
 
 inline constexpr double never = std::numeric_limits<double>::infinity();
 
-// When the first token came, in seconds since the first try.
+// Latency of a request's first token in seconds since its arrival, including refused tries and the
+// waits between them; `never` if there was none.
 struct outcome {
   const request_spec* request = nullptr;
   double first_token = never;
 };
 
-// Whether a request counts: it arrived after the warm-up, or after the event of the condition.
-[[nodiscard]] bool is_measured(const condition& what, const request_spec& request);
+// Returns whether a request is measured: it arrived after the warm-up or, if the condition has an
+// event such as a zone loss, after that event.
+[[nodiscard]] bool is_measured(const condition& run_condition, const request_spec& request);
 
-// Latencies and shares within the target; the other figures stay 0.
-[[nodiscard]] figures summarise(const run_options& options, std::span<const outcome> outcomes);
+// Fills the request counts, latency percentiles and shares of requests in time. The other fields of
+// the result stay 0.
+[[nodiscard]] run_metrics summarise(const run_options& options, std::span<const outcome> outcomes);
 
 } // namespace wisteriaflow::bench
 
--- a/bench/policy_bench_fleet.cc
+++ b/bench/policy_bench_fleet.cc
@@ -23,14 +23,14 @@
 constexpr double cache_event_lag = 1;
 constexpr double refresh_interval = 0.5;
 constexpr double gossip_delay = 0.2;
-constexpr double notice_seconds = 5;          // from the notice to the loss
-constexpr double latest_word_of_notice = 1.2; // until a daemon knows of it
-constexpr double within_zone = 0.0001;
-constexpr int most_refusals = 6;
-constexpr double headroom_of_shares = 1.5; // declared share over the steady traffic
-constexpr double share_of_batch = 0.1;     // beside the others, which add up to 1
+constexpr double notice_seconds = 5;     // from a reclaim notice to the loss of the instance
+constexpr double max_notice_delay = 1.2; // until every daemon knows of a notice
+constexpr double within_zone_seconds = 0.0001;
+constexpr int max_refusals = 6;
+constexpr double share_headroom = 1.5; // declared share relative to the steady traffic
+constexpr double batch_share = 0.1;    // besides the other workspaces' shares, whose sum is 1
 constexpr double unlimited = 1e12;
-constexpr std::size_t latencies_kept = 200;
+constexpr std::size_t max_latency_samples = 200;
 
 struct request_state {
   const request_spec* spec = nullptr;
@@ -51,17 +51,17 @@
 struct daemon_state {
   availability_zone zone;
   routing::endpoint_table table{{}};
-  routing::prefix_cache_index belief;
+  routing::prefix_cache_index prefixes;
   routing::routing_options options;
   admission::admission_control admission;
   admission::retry_budget hedges{{.fraction = 0.05, .min_per_second = 0, .max_balance = 5}};
   std::mt19937_64 rng;
-  std::size_t turn = 0; // of round robin
+  std::size_t round_robin_index = 0; // state of the round-robin policy
   std::vector<double> latencies;
 };
 
-// What a policy picked, or when to try again.
-struct pick {
+// The endpoint that a policy chose, or the time at which to try again.
+struct policy_choice {
   std::optional<endpoint_slot> slot;
   routing::prediction parts;
   std::optional<mono_time> first_token_at;
@@ -73,19 +73,19 @@
   explicit fleet(const run_options& options)
       : options_(options), workload_(make_workload(options)), rng_(options.seed + 1)
   {
-    add_engines(options.where.models, models_);
-    add_engines(options.where.services, services_);
-    for (int i = 0; i < options.where.daemons; ++i) {
+    add_engines(options.fleet_deployment.models, models_);
+    add_engines(options.fleet_deployment.services, services_);
+    for (int i = 0; i < options.fleet_deployment.daemons; ++i) {
       add_daemon(i);
     }
     requests_.resize(workload_.size());
   }
 
-  figures run()
+  run_metrics run()
   {
     for (std::size_t i = 0; i < workload_.size(); ++i) {
       requests_[i].spec = &workload_[i];
-      events_.at(workload_[i].arrival, [this, i] { arrive(requests_[i]); });
+      events_.schedule(workload_[i].arrival, [this, i] { arrive(requests_[i]); });
     }
     repeat(report_interval, [this] { send_reports(); });
     repeat(refresh_interval, [this] { refresh_shares(); });
@@ -95,7 +95,7 @@
   }
 
  private:
-  const variant_options& how() const { return options_.how; }
+  const variant_options& variant() const { return options_.variant; }
 
   void add_engines(const std::vector<engine_spec>& specs, std::vector<endpoint_slot>& slots)
   {
@@ -107,27 +107,28 @@
 
   void add_daemon(int i)
   {
-    const auto& where = options_.where;
+    const auto& fleet_deployment = options_.fleet_deployment;
     auto it = std::make_unique<daemon_state>(daemon_state{
         .zone = engines_[static_cast<std::size_t>(i) % 4]->spec().description.availability_zone,
-        .belief = routing::prefix_cache_index({}),
-        .admission = {{.max_batch_in_flight_share = how().batch_gives_way ? 0.5 : 1,
-                       .max_batch_utilisation = how().batch_gives_way ? 0.7 : unlimited},
-                      {.self = daemon_id(std::to_string(i)), .lend = how().lend}},
+        .prefixes = routing::prefix_cache_index({}),
+        .admission = {{.max_batch_in_flight_share = variant().batch_shed ? 0.5 : 1,
+                       .max_batch_utilisation = variant().batch_shed ? 0.7 : unlimited},
+                      {.self = daemon_id(std::to_string(i)), .lend = variant().lend}},
         .rng = std::mt19937_64(options_.seed * 1000 + static_cast<std::uint64_t>(i))});
-    const bool declared = how().price_preference < 0;
+    const bool declared = variant().price_preference < 0;
     it->options = {.availability_zone = it->zone,
-                   .price_preference = declared ? where.price_preference : how().price_preference,
-                   .near_equal_margin = how().near_equal,
+                   .price_preference =
+                       declared ? fleet_deployment.price_preference : variant().price_preference,
+                   .near_equal_margin = variant().near_equal,
                    .same_zone_latency = std::chrono::microseconds(200),
-                   .cross_zone_latency =
-                       std::chrono::microseconds(static_cast<int>(2e6 * where.between_zones)),
+                   .cross_zone_latency = std::chrono::microseconds(
+                       static_cast<int>(2e6 * fleet_deployment.between_zones_seconds)),
                    .tokens_per_block = block_tokens,
-                   .rules = how().rules};
+                   .rules = variant().rules};
     for (const auto& e : engines_) {
       it->table.upsert(e->spec().description);
     }
-    it->admission.limiter().set_daemon_count(where.daemons);
+    it->admission.limiter().set_daemon_count(fleet_deployment.daemons);
     it->admission.limiter().set_shares(declared_shares(), start);
     daemons_.push_back(std::move(it));
   }
@@ -136,15 +137,15 @@
   {
     double tokens = 0;
     for (const auto& it : workload_) {
-      const bool steady = it.arrival < start + from_seconds(event_at);
+      const bool steady = it.arrival < start + from_seconds(event_at_seconds);
       tokens += steady ? it.prompt_tokens + it.output_tokens : 0;
     }
-    const double rate = tokens / event_at * headroom_of_shares;
+    const double rate = tokens / event_at_seconds * share_headroom;
     admission::workspace_amounts shares;
-    for (std::size_t i = 0; i <= options_.where.workspaces.size(); ++i) {
-      const bool batch = i == options_.where.workspaces.size();
-      const double part = batch ? share_of_batch : options_.where.workspaces[i];
-      const double limit = how().limits ? rate * part : unlimited;
+    for (std::size_t i = 0; i <= options_.fleet_deployment.workspace_shares.size(); ++i) {
+      const bool batch = i == options_.fleet_deployment.workspace_shares.size();
+      const double part = batch ? batch_share : options_.fleet_deployment.workspace_shares[i];
+      const double limit = variant().limits ? rate * part : unlimited;
       shares[workspace_id(std::to_string(i))] = {{unlimited, limit, limit * 10}};
     }
     return shares;
@@ -154,46 +155,48 @@
   {
     const double end = run_seconds + drain_seconds;
     for (double at = interval; at < end; at += interval) {
-      events_.at(start + from_seconds(at), run);
+      events_.schedule(start + from_seconds(at), run);
     }
   }
 
-  void later(double s, std::function<void()> run)
+  void schedule_after(double s, std::function<void()> run)
   {
-    events_.at(events_.now() + from_seconds(s), std::move(run));
+    events_.schedule(events_.now() + from_seconds(s), std::move(run));
   }
 
-  // ---- what daemons hear -------------------------------------------------------------------
+  // ---- reports to the daemons --------------------------------------------------------------
 
   void send_reports()
   {
     for (std::size_t i = 0; i < engines_.size(); ++i) {
-      if (gone_.contains(i)) {
+      if (lost_engines_.contains(i)) {
         continue;
       }
       const auto slot = static_cast<endpoint_slot>(i);
-      later(options_.what.report_lag, [this, slot, report = engines_[i]->report()] {
+      schedule_after(options_.run_condition.report_lag,
+                     [this, slot, report = engines_[i]->report()] {
+                       for (auto& it : daemons_) {
+                         it->table.on_report(slot, report);
+                       }
+                     });
+      schedule_after(cache_event_lag, [this, slot, cache_events = engines_[i]->take_events()] {
         for (auto& it : daemons_) {
-          it->table.on_report(slot, report);
-        }
-      });
-      later(cache_event_lag, [this, slot, heard = engines_[i]->take_events()] {
-        for (auto& it : daemons_) {
-          hear(*it, slot, heard);
+          apply_cache_events(*it, slot, cache_events);
         }
       });
     }
   }
 
-  void hear(daemon_state& d, endpoint_slot slot, const std::vector<routing::cache_event>& heard)
+  void apply_cache_events(daemon_state& d, endpoint_slot slot,
+                          const std::vector<routing::cache_event>& cache_events)
   {
-    if (!how().cache_events) {
+    if (!variant().cache_events) {
       return;
     }
     std::uniform_real_distribution<double> uniform(0, 1);
-    for (const auto& event : heard) {
-      if (uniform(d.rng) >= options_.what.event_loss) {
-        d.belief.on_event(slot, event, events_.now());
+    for (const auto& event : cache_events) {
+      if (uniform(d.rng) >= options_.run_condition.event_loss) {
+        d.prefixes.on_event(slot, event, events_.now());
       }
     }
   }
@@ -202,11 +205,12 @@
   {
     for (auto& it : daemons_) {
       it->admission.limiter().refresh(events_.now());
-      later(gossip_delay, [this, report = it->admission.limiter().local_demand(events_.now())] {
-        for (auto& peer : daemons_) {
-          peer->admission.limiter().on_demand_report(report);
-        }
-      });
+      schedule_after(gossip_delay,
+                     [this, report = it->admission.limiter().local_demand(events_.now())] {
+                       for (auto& peer : daemons_) {
+                         peer->admission.limiter().on_demand_report(report);
+                       }
+                     });
     }
   }
 
@@ -216,16 +220,17 @@
   {
     const auto& first = engines_.front()->spec().description.availability_zone;
     const auto& second = engines_[1]->spec().description.availability_zone;
-    if (options_.what.zone_loss) {
-      events_.at(start + from_seconds(event_at), [this, first] { reclaim(first, false); });
+    if (options_.run_condition.zone_loss) {
+      events_.schedule(start + from_seconds(event_at_seconds),
+                       [this, first] { reclaim(first, false); });
     }
-    if (options_.what.second_wave) {
-      events_.at(start + from_seconds(event_at + second_wave_after),
-                 [this, second] { reclaim(second, true); });
+    if (options_.run_condition.second_wave) {
+      events_.schedule(start + from_seconds(event_at_seconds + second_wave_delay_seconds),
+                       [this, second] { reclaim(second, true); });
     }
   }
 
-  // All of a zone, or half of its reclaimable engines.
+  // Reclaims all engines of a zone or, if `half`, every second one of its reclaimable engines.
   void reclaim(const availability_zone& zone, bool half)
   {
     bool skip = false;
@@ -239,17 +244,17 @@
         continue;
       }
       const auto slot = static_cast<endpoint_slot>(i);
-      std::uniform_real_distribution<double> word(0.2, latest_word_of_notice);
+      std::uniform_real_distribution<double> notice_delay(0.2, max_notice_delay);
       for (auto& it : daemons_) {
-        later(word(rng_), [d = it.get(), slot] { d->table.on_leaving(slot); });
+        schedule_after(notice_delay(rng_), [d = it.get(), slot] { d->table.on_leaving(slot); });
       }
-      later(notice_seconds, [this, i] { lose(i); });
+      schedule_after(notice_seconds, [this, i] { stop_engine(i); });
     }
   }
 
-  void lose(std::size_t i)
+  void stop_engine(std::size_t i)
   {
-    gone_.insert(i);
+    lost_engines_.insert(i);
     engines_[i]->stop();
     std::vector<in_flight> lost;
     std::erase_if(attempts_, [&](const auto& it) {
@@ -278,73 +283,77 @@
     return to_seconds(events_.now() - r.spec->arrival);
   }
 
-  bool open(const daemon_state& d, endpoint_slot slot) const { return !d.table.at(slot).leaving; }
+  bool accepts_requests(const daemon_state& d, endpoint_slot slot) const
+  {
+    return !d.table.at(slot).leaving;
+  }
 
-  // Again: the request had been admitted and goes on after a loss, or is hedged.
-  void dispatch(request_state& r, std::size_t daemon, bool again,
-                std::optional<endpoint_slot> not_there = std::nullopt)
+  // Chooses an endpoint and sends the request there. `skip_admission` is set for a request that was
+  // admitted before: it continues after the loss of its engine, or is hedged.
+  void dispatch(request_state& r, std::size_t daemon, bool skip_admission,
+                std::optional<endpoint_slot> excluded_slot = std::nullopt)
   {
     auto& d = *daemons_[daemon];
-    const auto picked = choose(d, *r.spec, again, not_there);
-    if (!again && how().kind == policy::wisteriaflow && !admit(r, d, picked)) {
+    const auto choice = choose(d, *r.spec, skip_admission, excluded_slot);
+    if (!skip_admission && variant().kind == policy::wisteriaflow && !admit(r, d, choice)) {
       return;
     }
-    if (!picked.slot) {
-      if (!not_there) {
-        later(1, [this, &r, daemon] { dispatch(r, daemon, true); });
+    if (!choice.slot) {
+      if (!excluded_slot) {
+        schedule_after(1, [this, &r, daemon] { dispatch(r, daemon, true); });
       }
       return;
     }
-    send(r, daemon, picked);
-    if (how().hedge && !again) {
-      schedule_hedge(r, daemon, *picked.slot);
+    send(r, daemon, choice);
+    if (variant().hedge && !skip_admission) {
+      schedule_hedge(r, daemon, *choice.slot);
     }
   }
 
-  bool admit(request_state& r, daemon_state& d, const pick& picked)
+  bool admit(request_state& r, daemon_state& d, const policy_choice& choice)
   {
     const auto& spec = *r.spec;
-    const auto deadline = events_.now() + from_seconds(options_.where.deadline_seconds);
-    const auto made = d.admission.admit(
+    const auto deadline = events_.now() + from_seconds(options_.fleet_deployment.deadline_seconds);
+    const auto decision = d.admission.admit(
         {.workspace = workspace_id(std::to_string(spec.workspace)),
          .tokens = static_cast<double>(spec.prompt_tokens + spec.output_tokens),
          .priority = spec.kind == request_kind::batch ? admission::request_priority::batch
                                                       : admission::request_priority::interactive,
          .deadline = deadline,
-         .first_token_at = picked.first_token_at,
+         .first_token_at = choice.first_token_at,
          .utilisation = spec.kind == request_kind::batch ? d.table.utilisation(models_) : 0},
         events_.now(), d.rng);
-    if (const auto* ticket = std::get_if<admission::admitted>(&made)) {
+    if (const auto* ticket = std::get_if<admission::admitted>(&decision)) {
       r.ticket = *ticket;
       return true;
     }
     if (spec.kind == request_kind::interactive) {
-      turned_away_ += in_window(spec) ? 1 : 0;
+      refusals_ += in_window(spec) ? 1 : 0;
     }
-    auto at = std::get<admission::refused>(made).retry_at;
-    at = picked.retry_at ? std::max(at, *picked.retry_at) : at;
-    if (++r.refusals < most_refusals || spec.kind == request_kind::batch) {
-      events_.at(at, [this, &r] { arrive(r); });
+    auto at = std::get<admission::refused>(decision).retry_at;
+    at = choice.retry_at ? std::max(at, *choice.retry_at) : at;
+    if (++r.refusals < max_refusals || spec.kind == request_kind::batch) {
+      events_.schedule(at, [this, &r] { arrive(r); });
     }
     return false;
   }
 
-  void send(request_state& r, std::size_t daemon, const pick& picked)
+  void send(request_state& r, std::size_t daemon, const policy_choice& choice)
   {
     auto& d = *daemons_[daemon];
-    const auto slot = *picked.slot;
+    const auto slot = *choice.slot;
     const auto& spec = *r.spec;
-    const int missing = std::max(0, spec.prompt_tokens - picked.parts.cached_tokens);
+    const int missing = std::max(0, spec.prompt_tokens - choice.parts.cached_tokens);
     in_flight attempt{.id = next_id_++,
                       .request = &r,
                       .daemon = daemon,
                       .work = d.table.on_sent(slot, missing, events_.now())};
-    d.belief.on_sent(slot, spec.blocks, events_.now());
-    const double way = network(d, slot);
+    d.prefixes.on_sent(slot, spec.blocks, events_.now());
+    const double one_way_seconds = one_way_delay(d, slot);
     const auto id = attempt.id;
     attempts_.emplace(id, attempt);
-    later(way, [this, id, slot, way, &spec] {
-      if (!attempts_.contains(id) || gone_.contains(slot)) {
+    schedule_after(one_way_seconds, [this, id, slot, one_way_seconds, &spec] {
+      if (!attempts_.contains(id) || lost_engines_.contains(slot)) {
         return;
       }
       engines_[slot]->submit(
@@ -353,23 +362,26 @@
            .prompt_tokens = spec.prompt_tokens,
            .output_tokens = spec.output_tokens,
            .on_first_token =
-               [this, id, way](int cached) {
+               [this, id, one_way_seconds](int cached) {
                  count_computed(id, cached);
-                 later(way, [this, id] { first_token(id); });
+                 schedule_after(one_way_seconds, [this, id] { on_first_token(id); });
                },
-           .on_finished = [this, id, way] { later(way, [this, id] { finished(id); }); }});
+           .on_finished =
+               [this, id, one_way_seconds] {
+                 schedule_after(one_way_seconds, [this, id] { on_finished(id); });
+               }});
     });
-    if (gone_.contains(slot)) {
+    if (lost_engines_.contains(slot)) {
       attempts_.erase(id);
       d.table.on_finished(attempt.work, 0, events_.now());
-      later(0.1, [this, &r, daemon] { dispatch(r, daemon, true); });
+      schedule_after(0.1, [this, &r, daemon] { dispatch(r, daemon, true); });
     }
   }
 
-  double network(const daemon_state& d, endpoint_slot slot) const
+  double one_way_delay(const daemon_state& d, endpoint_slot slot) const
   {
     const bool same = d.table.at(slot).description.availability_zone == d.zone;
-    return same ? within_zone : options_.where.between_zones;
+    return same ? within_zone_seconds : options_.fleet_deployment.between_zones_seconds;
   }
 
   void count_computed(std::uint64_t id, int cached_tokens)
@@ -387,7 +399,7 @@
     }
   }
 
-  void first_token(std::uint64_t id)
+  void on_first_token(std::uint64_t id)
   {
     const auto it = attempts_.find(id);
     if (it == attempts_.end()) {
@@ -401,7 +413,7 @@
       return;
     }
     r.first_token = elapsed(r);
-    if (d.latencies.size() >= latencies_kept) {
+    if (d.latencies.size() >= max_latency_samples) {
       d.latencies.erase(d.latencies.begin());
     }
     d.latencies.push_back(to_seconds(events_.now() - attempt.work.sent_at));
@@ -423,7 +435,7 @@
     });
   }
 
-  void finished(std::uint64_t id)
+  void on_finished(std::uint64_t id)
   {
     const auto it = attempts_.find(id);
     if (it == attempts_.end()) {
@@ -449,13 +461,13 @@
   {
     auto& d = *daemons_[daemon];
     d.hedges.on_first_attempt();
-    if (r.spec->kind != request_kind::interactive || d.latencies.size() < latencies_kept) {
+    if (r.spec->kind != request_kind::interactive || d.latencies.size() < max_latency_samples) {
       return;
     }
     auto sorted = d.latencies;
     const auto nth = sorted.begin() + static_cast<std::ptrdiff_t>(sorted.size() * 95 / 100);
     std::nth_element(sorted.begin(), nth, sorted.end());
-    later(*nth, [this, &r, daemon, slot] {
+    schedule_after(*nth, [this, &r, daemon, slot] {
       if (r.first_token == never && daemons_[daemon]->hedges.try_retry(events_.now())) {
         r.hedged = true;
         ++hedged_;
@@ -466,31 +478,34 @@
 
   // ---- policies ----------------------------------------------------------------------------
 
-  pick choose(daemon_state& d, const request_spec& spec, bool again,
-              std::optional<endpoint_slot> not_there)
+  policy_choice choose(daemon_state& d, const request_spec& spec, bool skip_admission,
+                       std::optional<endpoint_slot> excluded_slot)
   {
     const auto& all = spec.kind == request_kind::service ? services_ : models_;
-    if (how().kind == policy::wisteriaflow) {
-      return choose_by_prediction(d, spec, all, again, not_there);
+    if (variant().kind == policy::wisteriaflow) {
+      return choose_by_prediction(d, spec, all, skip_admission, excluded_slot);
     }
     std::vector<endpoint_slot> live;
     std::copy_if(all.begin(), all.end(), std::back_inserter(live),
-                 [&](endpoint_slot it) { return open(d, it) && it != not_there; });
-    return live.empty() ? pick{}
-                        : pick{.slot = choose_plainly(how().kind, d.table, live, spec.blocks,
-                                                      d.turn, d.rng)};
+                 [&](endpoint_slot it) { return accepts_requests(d, it) && it != excluded_slot; });
+    return live.empty()
+               ? policy_choice{}
+               : policy_choice{.slot = choose_by_baseline(variant().kind, d.table, live,
+                                                          spec.blocks, d.round_robin_index, d.rng)};
   }
 
-  pick choose_by_prediction(daemon_state& d, const request_spec& spec,
-                            const std::vector<endpoint_slot>& all, bool again,
-                            std::optional<endpoint_slot> not_there)
+  policy_choice choose_by_prediction(daemon_state& d, const request_spec& spec,
+                                     const std::vector<endpoint_slot>& all, bool skip_admission,
+                                     std::optional<endpoint_slot> excluded_slot)
   {
-    const double deadline =
-        how().deadline_refusal && !again ? options_.where.deadline_seconds : 1e6;
-    const double target = spec.kind == request_kind::service ? 0.02 : options_.where.target_seconds;
+    const double deadline = variant().deadline_refusal && !skip_admission
+                                ? options_.fleet_deployment.deadline_seconds
+                                : 1e6;
+    const double target =
+        spec.kind == request_kind::service ? 0.02 : options_.fleet_deployment.target_seconds;
     std::vector<endpoint_slot> excluded;
-    if (not_there) {
-      excluded.push_back(*not_there);
+    if (excluded_slot) {
+      excluded.push_back(*excluded_slot);
     }
     const routing::request_view request{.blocks = spec.blocks,
                                         .prompt_tokens = spec.prompt_tokens,
@@ -499,45 +514,49 @@
                                         .target = events_.now() + from_seconds(target),
                                         .deadline = events_.now() + from_seconds(deadline),
                                         .excluded = excluded};
-    const routing::routing_view view{d.table, d.belief, d.options};
-    const auto made = routing::choose_endpoint(view, request, all, events_.now(), d.rng);
-    if (const auto* no = std::get_if<routing::no_endpoint>(&made)) {
+    const routing::routing_view view{d.table, d.prefixes, d.options};
+    const auto result = routing::choose_endpoint(view, request, all, events_.now(), d.rng);
+    if (const auto* no = std::get_if<routing::no_endpoint>(&result)) {
       return {.retry_at = no->retry_at};
     }
-    const auto& chosen = std::get<routing::chosen_endpoint>(made);
-    // Without deadline refusal the prediction must not make admission refuse either.
+    const auto& chosen = std::get<routing::chosen_endpoint>(result);
+    // Without deadline refusal, admission must not refuse because of the prediction either.
     return {.slot = chosen.slot,
             .parts = chosen.parts,
-            .first_token_at = how().deadline_refusal ? chosen.first_token_at : events_.now()};
+            .first_token_at = variant().deadline_refusal ? chosen.first_token_at : events_.now()};
   }
 
-  // ---- figures -----------------------------------------------------------------------------
+  // ---- results -----------------------------------------------------------------------------
 
-  bool in_window(const request_spec& spec) const { return is_measured(options_.what, spec); }
+  bool in_window(const request_spec& spec) const
+  {
+    return is_measured(options_.run_condition, spec);
+  }
 
-  figures collect()
+  run_metrics collect()
   {
     std::vector<outcome> outcomes;
     for (const auto& r : requests_) {
       outcomes.push_back({.request = r.spec, .first_token = r.first_token});
     }
     auto f = summarise(options_, outcomes);
-    f.turned_away = turned_away_;
+    f.refusals = refusals_;
     f.hedged = hedged_;
-    f.recomputed = recomputed_ / 1000;
-    f.batch_tokens = batch_tokens_ / 1000;
+    f.recomputed_kilotokens = recomputed_ / 1000;
+    f.batch_kilotokens = batch_tokens_ / 1000;
     double cost = 0;
     for (const auto slot : models_) {
       cost += engines_[slot]->cost();
-      f.busy += engines_[slot]->busy_seconds() / run_seconds / static_cast<double>(models_.size());
+      f.prefill_utilisation +=
+          engines_[slot]->busy_seconds() / run_seconds / static_cast<double>(models_.size());
     }
-    f.cost = answered_tokens_ > 0 ? cost / answered_tokens_ * 1e6 : 0;
+    f.cost_per_million_tokens = answered_tokens_ > 0 ? cost / answered_tokens_ * 1e6 : 0;
     return f;
   }
 
   const run_options& options_;
   std::vector<request_spec> workload_;
-  event_list events_;
+  event_queue events_;
   std::mt19937_64 rng_;
   std::vector<std::unique_ptr<engine>> engines_;
   std::vector<endpoint_slot> models_;
@@ -546,18 +565,18 @@
   std::vector<request_state> requests_;
   std::unordered_map<std::uint64_t, in_flight> attempts_;
   std::unordered_set<std::uint64_t> computed_;
-  std::set<std::size_t> gone_;
+  std::set<std::size_t> lost_engines_;
   std::uint64_t next_id_ = 1;
   double recomputed_ = 0;
   double answered_tokens_ = 0;
   double batch_tokens_ = 0;
-  int turned_away_ = 0;
+  int refusals_ = 0;
   int hedged_ = 0;
 };
 
 } // namespace
 
-figures run_fleet(const run_options& options)
+run_metrics run_fleet(const run_options& options)
 {
   return fleet(options).run();
 }
--- a/bench/policy_bench_plain.cc
+++ b/bench/policy_bench_plain.cc
@@ -10,9 +10,10 @@
 
 using routing::endpoint_slot;
 
-constexpr std::size_t affinity_block = 32; // prompts are hashed this deep
+// The block whose hash decides; the last one if the prompt is shorter.
+constexpr std::size_t affinity_block_index = 32;
 
-// One of those with the lowest score, at random.
+// Returns a random one of the endpoints with the lowest score.
 template <typename function>
 endpoint_slot lowest(std::span<const endpoint_slot> live, std::mt19937_64& rng, function score)
 {
@@ -30,13 +31,13 @@
 
 } // namespace
 
-endpoint_slot choose_plainly(policy kind, const routing::endpoint_table& table,
-                             std::span<const endpoint_slot> live,
-                             std::span<const std::uint64_t> blocks, std::size_t& turn,
-                             std::mt19937_64& rng)
+endpoint_slot choose_by_baseline(policy kind, const routing::endpoint_table& table,
+                                 std::span<const endpoint_slot> live,
+                                 std::span<const std::uint64_t> blocks,
+                                 std::size_t& round_robin_index, std::mt19937_64& rng)
 {
   if (kind == policy::round_robin) {
-    return live[turn++ % live.size()];
+    return live[round_robin_index++ % live.size()];
   }
   if (kind == policy::least_loaded) {
     return lowest(live, rng, [&](endpoint_slot it) {
@@ -44,7 +45,7 @@
     });
   }
   if (kind == policy::prefix_affinity && !blocks.empty()) {
-    const auto key = blocks[std::min(blocks.size() - 1, affinity_block)];
+    const auto key = blocks[std::min(blocks.size() - 1, affinity_block_index)];
     return lowest(live, rng, [&](endpoint_slot it) {
       return ~rendezvous_score(key, table.at(it).description.id.value());
     });
--- a/bench/policy_bench_plain.h
+++ b/bench/policy_bench_plain.h
@@ -1,4 +1,4 @@
-// The plain policies that the project's own is compared with.
+// Simple endpoint choice policies that the project's own policy is compared with.
 
 #ifndef WISTERIAFLOW_BENCH_POLICY_BENCH_PLAIN_H_
 #define WISTERIAFLOW_BENCH_POLICY_BENCH_PLAIN_H_
@@ -13,13 +13,12 @@
 
 namespace wisteriaflow::bench {
 
-// Picks one of `live`, which is not empty. `turn` counts the picks of round robin. Prefix affinity
-// alone is rendezvous hashing of the prompt's leading blocks; a call without a prompt is random.
-[[nodiscard]] routing::endpoint_slot choose_plainly(policy kind,
-                                                    const routing::endpoint_table& table,
-                                                    std::span<const routing::endpoint_slot> live,
-                                                    std::span<const std::uint64_t> blocks,
-                                                    std::size_t& turn, std::mt19937_64& rng);
+// Chooses one of `live`, which must not be empty. `round_robin_index` counts the choices of round
+// robin and is increased by it. Prefix affinity is rendezvous hashing of the prompt's leading
+// blocks; for a call without a prompt it chooses at random.
+[[nodiscard]] routing::endpoint_slot choose_by_baseline(
+    policy kind, const routing::endpoint_table& table, std::span<const routing::endpoint_slot> live,
+    std::span<const std::uint64_t> blocks, std::size_t& round_robin_index, std::mt19937_64& rng);
 
 } // namespace wisteriaflow::bench
 
--- a/bench/policy_bench_scale.cc
+++ b/bench/policy_bench_scale.cc
@@ -24,9 +24,10 @@
 constexpr std::size_t shared_blocks = 24;
 constexpr std::uint64_t seed = 7;
 
-// The state of one daemon that reaches `candidates` endpoints.
-struct planned_daemon {
-  explicit planned_daemon(int candidates)
+// The routing state of a daemon that reaches `candidates` endpoints and has sent `prompts`
+// requests.
+struct loaded_daemon {
+  explicit loaded_daemon(int candidates)
   {
     for (int i = 0; i < candidates; ++i) {
       const auto slot =
@@ -47,7 +48,7 @@
       }
       const auto slot =
           static_cast<routing::endpoint_slot>(rng() % static_cast<unsigned>(candidates));
-      belief.on_sent(slot, blocks, now);
+      prefixes.on_sent(slot, blocks, now);
       all_blocks.push_back(std::move(blocks));
     }
   }
@@ -55,7 +56,7 @@
   mono_time now{std::chrono::seconds(1000)};
   std::mt19937_64 rng{seed};
   routing::endpoint_table table{{}};
-  routing::prefix_cache_index belief{{}};
+  routing::prefix_cache_index prefixes{{}};
   routing::routing_options options{.availability_zone = availability_zone("zone-3")};
   std::vector<std::vector<std::uint64_t>> all_blocks;
 };
@@ -70,8 +71,8 @@
 
 boost::json::object measure_decisions(int candidates)
 {
-  planned_daemon d(candidates);
-  const routing::routing_view view{d.table, d.belief, d.options};
+  loaded_daemon d(candidates);
+  const routing::routing_view view{d.table, d.prefixes, d.options};
   std::vector<double> micros;
   for (int i = 0; i < decisions; ++i) {
     const auto& blocks = d.all_blocks[d.rng() % d.all_blocks.size()];
@@ -82,19 +83,19 @@
                                         .target = d.now + std::chrono::seconds(2),
                                         .deadline = d.now + std::chrono::seconds(10)};
     const auto from = std::chrono::steady_clock::now();
-    const auto made = routing::choose_endpoint(view, request, d.table.slots(), d.now, d.rng);
+    const auto result = routing::choose_endpoint(view, request, d.table.slots(), d.now, d.rng);
     const auto to = std::chrono::steady_clock::now();
     micros.push_back(to_seconds(to - from) * 1e6);
-    if (const auto* chosen = std::get_if<routing::chosen_endpoint>(&made)) {
-      d.belief.on_sent(chosen->slot, blocks, d.now);
+    if (const auto* chosen = std::get_if<routing::chosen_endpoint>(&result)) {
+      d.prefixes.on_sent(chosen->slot, blocks, d.now);
     }
   }
   const double median = percentile(micros, 0.5);
   const double p99 = percentile(micros, 0.99);
-  const auto kilobytes = (d.table.memory_bytes() + d.belief.memory_bytes()) / 1024;
+  const auto kilobytes = (d.table.memory_bytes() + d.prefixes.memory_bytes()) / 1024;
   std::printf("decision, %4d candidates, %zu blocks: median %.2f us, p99 %.2f us; state %zu KiB, "
               "%zu blocks known\n",
-              candidates, prompt_blocks, median, p99, kilobytes, d.belief.size());
+              candidates, prompt_blocks, median, p99, kilobytes, d.prefixes.size());
   return {
       {"candidates", candidates}, {"median_us", median}, {"p99_us", p99}, {"state_kib", kilobytes}};
 }
@@ -117,7 +118,7 @@
   return {{"hash_kib", prompt.size() / 1024}, {"mean_us", micros}};
 }
 
-// One refresh with the reports of all daemons, each of which serves a few workspaces.
+// Times one computation of the shares from the reports of all daemons, each serving ten workspaces.
 boost::json::object measure_refresh()
 {
   admission::workspace_limiter limiter({.self = daemon_id("d-0")});
--- a/bench/policy_bench_scale.h
+++ b/bench/policy_bench_scale.h
@@ -1,4 +1,5 @@
-// Time and memory of the routing state at the planned size: 390 daemons, 2,500 runners, 11 zones.
+// Measures the time and memory of the routing state at the size that the system is designed for:
+// 390 daemons, 2,500 endpoints, 11 zones.
 
 #ifndef WISTERIAFLOW_BENCH_POLICY_BENCH_SCALE_H_
 #define WISTERIAFLOW_BENCH_POLICY_BENCH_SCALE_H_
@@ -7,7 +8,8 @@
 
 namespace wisteriaflow::bench {
 
-// Prints one line for each number of candidates and returns the figures.
+// Measures endpoint choices for several numbers of candidates, the hashing of a prompt, and one
+// refresh of the workspaces' shares. Prints a line for each and returns the same as JSON.
 [[nodiscard]] boost::json::array measure_scale();
 
 } // namespace wisteriaflow::bench
--- a/bench/policy_bench_workload.h
+++ b/bench/policy_bench_workload.h
@@ -1,4 +1,5 @@
-// The requests of a run, made beforehand from a seed: every policy gets the same ones.
+// Generates the requests of a run from its seed before the run starts, so that every policy gets
+// the same requests.
 
 #ifndef WISTERIAFLOW_BENCH_POLICY_BENCH_WORKLOAD_H_
 #define WISTERIAFLOW_BENCH_POLICY_BENCH_WORKLOAD_H_
@@ -12,11 +13,12 @@
 namespace wisteriaflow::bench {
 
 inline constexpr mono_time start{std::chrono::seconds(1000)};
-inline constexpr double event_at = 150;    // s into the run: burst, zone loss, nightly work
-inline constexpr double run_seconds = 300; // arrivals end
+// Start of the burst, the zone loss or the nightly batch requests.
+inline constexpr double event_at_seconds = 150;
+inline constexpr double run_seconds = 300; // requests arrive until then
 inline constexpr double drain_seconds = 120;
 inline constexpr double warm_up_seconds = 60;
-inline constexpr double second_wave_after = 30;
+inline constexpr double second_wave_delay_seconds = 30;
 inline constexpr std::size_t bursting_workspace = 2;
 
 enum class request_kind { interactive, batch, service };
@@ -31,8 +33,9 @@
   int output_tokens = 0;
 };
 
-// In order of arrival. Conversations of a few turns: a prompt shared by the workspace's callers, a
-// document of the conversation, and the turns so far. Batch work has index `workspaces.size()`.
+// Returns the requests in order of arrival. Interactive requests are the turns of conversations;
+// their prompt is a template shared by the workspace's callers, a document of the conversation and
+// the turns so far. The workspace of batch requests has the index `workspace_shares.size()`.
 [[nodiscard]] std::vector<request_spec> make_workload(const run_options& options);
 
 } // namespace wisteriaflow::bench
--- a/bench/run-path.sh
+++ b/bench/run-path.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Starts fakes and daemons on loopback and runs path_bench. $DAEMONS: how many daemons (default 3).
-# Arguments go to path_bench.
+# Starts fakes and daemons on loopback and runs path_bench. $DAEMONS: number of daemons (default 3).
+# Arguments are passed to path_bench.
 set -euo pipefail
 root=$(cd "$(dirname "$0")/.." && pwd)
 build=${BUILD_DIR:-$root/build}
--- a/bench/run-slopes.sh
+++ b/bench/run-slopes.sh
@@ -1,15 +1,17 @@
 #!/usr/bin/env bash
-# What control costs an idle daemon as the fleet grows: real processes on loopback.
+# Measures what coordination costs an idle daemon as the fleet grows, with real processes on
+# loopback.
 #
 #   bench/run-slopes.sh [N...]     fleet sizes, default 4 8 16 32 64
 #
-# For each size: processor time, resident memory, messages and bytes received from peers, and store
-# calls of the first four daemons, each the mean over $SECONDS_MEASURED (default 20) after the fleet
-# has settled. Bytes are protobuf sizes, without gRPC's framing. One line of JSON a size.
+# Prints one line of JSON for each size: processor time, resident memory, messages and bytes
+# received from peers, and store calls, as means over the first four daemons and over
+# $SECONDS_MEASURED seconds (default 20) after the fleet has settled. Bytes are protobuf sizes
+# without gRPC framing.
 set -euo pipefail
 root=$(cd "$(dirname "$0")/.." && pwd)
 build=${BUILD_DIR:-$root/build}
-gossip_period_ms=1000 # the default, not the demo's
+gossip_period_ms=1000 # the daemon's default; lib/fleet.sh sets 200 otherwise
 measured=${SECONDS_MEASURED:-20}
 sizes=("$@")
 [ "${#sizes[@]}" -gt 0 ] || sizes=(4 8 16 32 64)
@@ -45,14 +47,16 @@
           n, 100 * cpu / k, mem / k, bytes / k, messages / k, calls / k }'
 }
 
+# Prints the value of a metric without labels ($2) of the daemon at $1.
 metric() { curl -sf "http://$1/metrics" | sed -n "s/^wisteriaflow_$2 //p"; }
 
-# The sum of all series of a metric.
+# Prints the sum of all series of a metric ($2) of the daemon at $1.
 metric_sum() {
   curl -sf "http://$1/metrics" | awk -v m="wisteriaflow_$2{" 'index($0, m) == 1 { s += $2 } END { printf "%d", s }'
 }
 
-# A line for each of the first four daemons: ticks, resident KB, bytes, messages, store calls.
+# Prints a line for each of the first four daemons: CPU ticks, resident KB, bytes, messages, store
+# calls.
 sample() {
   for i in 0 1 2 3; do
     local pid=${pids[$i]} address=${addresses[$i]}
--- a/cmake/tests.cmake
+++ b/cmake/tests.cmake
@@ -1,8 +1,8 @@
-# Tests, fakes and benches. A test program per package: test/<package>/*_test.cc.
+# Tests, fakes and benchmarks. Each package has one test program: test/<package>/*_test.cc.
 enable_testing()
 include(GoogleTest)
 
-# Fakes of outside systems: a library, and a program for each *_main.cc.
+# Fakes of external systems: one library, and a program for each *_main.cc.
 file(GLOB fake_sources CONFIGURE_DEPENDS ${CMAKE_SOURCE_DIR}/test/fakes/*.cc)
 list(FILTER fake_sources EXCLUDE REGEX "_main\\.cc$")
 if(fake_sources)
@@ -28,7 +28,7 @@
   file(GLOB helpers CONFIGURE_DEPENDS ${package_dir}/*.cc)
   list(FILTER helpers EXCLUDE REGEX "_main\\.cc$")
   if(package MATCHES "^(fakes|gateway_system)$")
-    set(helpers ${tests}) # the rest is a library
+    set(helpers ${tests}) # the other sources are in a library
   endif()
   add_executable(${package}_test ${helpers})
   target_include_directories(${package}_test PRIVATE test src)
@@ -52,7 +52,7 @@
     endforeach()
   endif()
   target_link_libraries(${package}_test PRIVATE GTest::gtest GTest::gtest_main rapidcheck)
-  # System tests start a fleet each: of six processors two such tests run at a time.
+  # Each system test starts a fleet, so only two of them run at a time on six processors.
   set(processors 1)
   if(package STREQUAL "system")
     set(processors 3)
@@ -62,7 +62,7 @@
                                   PROCESSORS ${processors})
 endforeach()
 
-# The soak program runs a fleet under random faults; scripts/soak.sh starts it.
+# The soak test runs a fleet under random faults; scripts/soak.sh starts it.
 if(EXISTS ${CMAKE_SOURCE_DIR}/test/system/soak_main.cc)
   file(GLOB soak_sources CONFIGURE_DEPENDS ${CMAKE_SOURCE_DIR}/test/system/*.cc)
   list(FILTER soak_sources EXCLUDE REGEX "_test\\.cc$")
@@ -74,7 +74,7 @@
                    fake_plain_service)
 endif()
 
-# The same for gateway daemons. A short run with a fixed seed is a test.
+# Soak test of gateway daemons. A short run with a fixed seed is part of the test suite.
 set(gateway_fleet_sources test/system/process.cc)
 foreach(part counting_endpoint fault_proxy gateway_fleet soak_terms)
   list(APPEND gateway_fleet_sources test/gateway_system/${part}.cc)
@@ -93,7 +93,7 @@
 add_test(NAME GatewaySoak.KeepsEveryPromise COMMAND gateway_soak --minutes=0.2 --seed=1)
 set_tests_properties(GatewaySoak.KeepsEveryPromise PROPERTIES TIMEOUT 300 PROCESSORS 3)
 
-# Benches are built with everything else and run by hand or by bench/run.
+# Benchmarks are built with everything else and run manually or by the scripts bench/run-*.sh.
 file(GLOB benches CONFIGURE_DEPENDS ${CMAKE_SOURCE_DIR}/bench/*_bench.cc)
 foreach(bench ${benches})
   get_filename_component(name ${bench} NAME_WE)
@@ -105,7 +105,7 @@
                         absl::flags absl::flags_parse)
 endforeach()
 
-# Samples, numbered from simple to full.
+# Samples, numbered from simple to complete.
 file(GLOB samples CONFIGURE_DEPENDS ${CMAKE_SOURCE_DIR}/samples/*.cc)
 foreach(sample ${samples})
   get_filename_component(name ${sample} NAME_WE)
--- a/include/wisteriaflow/wisteriaflow.h
+++ b/include/wisteriaflow/wisteriaflow.h
@@ -1,41 +1,44 @@
-// wisteriaflow: serves language models, and plain services beside them, on cheap reclaimable
-// instances without callers noticing.
+// Includes the public headers of every package without I/O, and those of the daemon.
 //
-// The library decides; it does not talk. Everything that matters (what becomes of a request, who
-// may run it, where it goes, whether it is let in, which members are there, which configuration is
-// in force) is pure code: typed events and the current time go in, typed actions come out. No
-// socket, thread or clock is touched, so the same code runs in the daemon, in tests, in benches and
-// in a program of your own.
+// wisteriaflow serves language models and plain services on cheap instances that the cloud provider
+// may reclaim, without interrupting callers' requests.
+//
+// The library makes decisions and does no I/O. The lifecycle of requests, claims, routing,
+// admission, membership and configuration are state machines that take typed events and the current
+// time and return typed actions. They use no sockets, threads or clocks, so the same code runs in
+// the daemon, in tests, in benchmarks and in your own program.
 //
 //   #include "wisteriaflow/wisteriaflow.h"
 //   // target_link_libraries(my_program PRIVATE wisteriaflow_core)
 //
 //   using namespace wisteriaflow;
-//   requests::request_life life({.request_id = "r1", .model = "phrasebook", .streamed = true});
-//   for (const auto& action : life.handle(requests::admission_granted{}, now)) {
-//     std::visit(carry_out, action);  // start_attempt{1}: choose an endpoint, send the request
+//   requests::request_lifecycle lifecycle(
+//       {.request_id = "r1", .model = "phrasebook", .streamed = true});
+//   for (const auto& action : lifecycle.handle(requests::admission_granted{}, now)) {
+//     std::visit(perform, action);  // start_attempt{1}: choose an endpoint, send the request
 //   }
 //
-// The packages, each in a folder and a namespace of its own:
+// Each package has its own folder and namespace:
 //
-//   base        ids, clocks, hashes, the root of the exceptions
+//   base        ids, clocks, hashes, the base class of the exceptions
 //   objects     labels, selectors, declared objects, the fleet's configuration, audit records
-//   requests    the life of a request, its outcomes, the callers' interface
-//   claims      at most one run for each key of a non-idempotent request (the inner protocol)
-//   membership  who is there and who leaves; gossip, subsets, addresses
-//   routing     which endpoint takes a request, and why
-//   admission   shares of workspaces, refusals with a time to come back, retry budgets
-//   capacity    the cheapest mix of instances; the lease under which one daemon plans it
-//   core        all of these joined: one daemon's decisions
+//   requests    the lifecycle of a request, its outcomes, the callers' interface
+//   claims      at-most-once execution per key of non-idempotent requests (protocol of the daemons)
+//   membership  live, leaving and gone daemons and endpoints; gossip, subsets, addresses
+//   routing     the choice of an endpoint for a request, and its explanation
+//   admission   rate limits of workspaces, refusals with a retry time, retry budgets
+//   capacity    the cheapest mix of instances; the lease that lets one daemon plan it
+//   core        the decisions of one daemon, combined from all of these
 //
-// What talks is the daemon: `daemon::daemon` (link wisteriaflow_daemon) carries events and actions
-// between the core and HTTP, gRPC and the platform. The headers of the shells themselves (http,
-// platform, peer) bring Boost.Asio with them and are not included here.
+// I/O is done by `daemon::daemon` (link wisteriaflow_daemon), which passes events and actions
+// between the core and HTTP, gRPC and the platform. The headers of the I/O components (http,
+// platform, peer) depend on Boost.Asio and are not included here.
 //
-// Errors are exceptions derived from `wisteriaflow::error`, a family for each package. No type here
-// is safe to share between threads unless it says so; values that are immutable may be shared.
+// Errors are exceptions derived from `wisteriaflow::error`; each package has its own subclasses.
+// Types are not safe to share between threads unless their documentation says so; immutable values
+// may be shared.
 //
-// samples/ shows the parts from simple to full; docs/PRIMER.md starts at the beginning.
+// samples/ has examples from simple to complete; docs/PRIMER.md is the introduction.
 
 #ifndef WISTERIAFLOW_WISTERIAFLOW_H_
 #define WISTERIAFLOW_WISTERIAFLOW_H_
@@ -147,7 +150,8 @@
 #include "wisteriaflow/daemon/settings.h"
 #include "wisteriaflow/daemon/version.h"
 
-// Opaque requests: routes, endpoints, limits over the fleet, peers, duties.
+// gateway: routes, endpoints, fleet-wide limits, peers and leader duties for requests whose content
+// the gateway does not interpret
 #include "wisteriaflow/gateway/answer_verdict.h"
 #include "wisteriaflow/gateway/call.h"
 #include "wisteriaflow/gateway/caller_addresses.h"
--- a/models/claims.pml
+++ b/models/claims.pml
@@ -1,25 +1,25 @@
-/* At most once for one key, over one shard, with a former owner that may be paused at any step.
+/* At-most-once execution of one key in one shard, with a former owner that may pause at any step.
  *
- * Owners OWNERS and executors EXECS share one store. A caller sends the same key to every
- * executor. Each step names the function that it stands for (src/claims). An answer that never
- * comes is a step that is never taken: `timeout` is not used, so every process may stop (pause,
- * crash) for ever between two steps, and go on at any time.
+ * OWNERS owners and EXECS executors share one store. A caller sends the same key to every
+ * executor. The comment of a step names the function that it models (src/claims). A lost answer is
+ * a step that is never taken: `timeout` is not used, so every process may stop (pause, crash)
+ * forever between two steps, or continue at any time.
  *
- * Checked: the key runs at most once; a claim of which "not run" was said never runs.
+ * Checked: the key runs at most once; a claim that was reported as "not run" never runs.
  *
  * Negative controls, each of which must fail:
- *   BLIND_WRITE          update_tail lands whatever the tail's version is
- *   GRANT_BEFORE_LANDED  claims are granted before their update has landed
- *   NO_TOO_OLD           admit does not compare the key with what has been forgotten
+ *   BLIND_WRITE          update_tail commits whatever the tail's version is
+ *   GRANT_BEFORE_LANDED  claims are granted before their update is committed
+ *   NO_TOO_OLD           admit does not compare the key's age with the forgotten entries
  *   REPLACE_UNASKED      a duplicate is replaced without asking its executor
- *   DISPATCH_AFTER_GIVING_UP  a grant that comes after "not run" was said is used
- *   NO_EPOCH_IN_NAMES    two owners use the same segment name, and take "exists" for their own
+ *   DISPATCH_AFTER_GIVING_UP  a grant that arrives after the report "not run" is used
+ *   NO_EPOCH_IN_NAMES    two owners use the same segment name and treat "exists" as their own write
  */
 #define EXECS 2
 #define OWNERS 2
 #define NOBODY 0      /* no nonce */
 
-/* Nothing holds the key but a claim that nonce n may replace. */
+/* The key is unclaimed, or held by a claim that nonce n may replace. */
 #define free_for(n) (found != n && (found == NOBODY || replaces[n] == found))
 #ifdef NO_TOO_OLD
 #define may_be_forgotten false
@@ -29,31 +29,31 @@
 #define known_forgotten my_forgotten
 #endif
 
-/* The tail: one key, so its entry is one nonce. */
+/* The shard's tail. With a single key, its only entry is a nonce. */
 byte version = 0;
 byte epoch = 0;
-byte entry = NOBODY;       /* in the tail */
+byte entry = NOBODY;       /* nonce in the tail */
 bool listed = false;       /* the tail lists a segment */
 byte listed_name = 0;
 bool forgotten = false;    /* forgotten_until has passed the key's creation */
-/* Segments: content by name, 255 is absent. A name is the epoch (or 0 without it). */
+/* Content of the segments by name; 255: absent. The name is the epoch (0 without epochs). */
 #define EPOCHS 4      /* the first owner takes over at most twice, the second once */
 byte segment[EPOCHS] = 255;
 
-bool too_old = false;      /* the key is past retention: by any clock, set at any time */
+bool too_old = false;      /* some clock puts the key past its retention; set at any time */
 
-/* Claims: nonce n is that of executor n (1..EXECS). */
-bool gave_up[EXECS + 1];   /* the executor said "not run", or answers so from now on */
+/* Claims: executor n (1..EXECS) uses nonce n. */
+bool gave_up[EXECS + 1];   /* the executor reports "not run" from now on */
 bool ran[EXECS + 1];
 byte runs = 0;
 
-/* Replies: the last word of any owner to a nonce. */
+/* Replies: the last reply of any owner to a nonce. */
 bool granted[EXECS + 1];
-byte holder[EXECS + 1];    /* duplicate of this nonce */
-byte replaces[EXECS + 1];  /* replaces_nonce of its ask */
+byte holder[EXECS + 1];    /* nonce of the claim that this one duplicates */
+byte replaces[EXECS + 1];  /* replaces_nonce of its claim request */
 bool asked[EXECS + 1];
 
-inline dispatch(n) {       /* asker_core::dispatch */
+inline dispatch(n) {       /* claim_client_core::dispatch */
   runs++;
   ran[n] = true;
   assert(runs <= 1);
@@ -61,15 +61,15 @@
 }
 
 proctype executor(byte n) {
-  asked[n] = true;         /* asker_core::ask */
+  asked[n] = true;         /* claim_client_core::send_claim_to_owner */
   do
   :: atomic { granted[n] && !ran[n] && !gave_up[n] -> dispatch(n) }   /* granted_in_time */
 #ifdef DISPATCH_AFTER_GIVING_UP
   :: atomic { granted[n] && !ran[n] -> dispatch(n) }
 #endif
-  /* The deadline passes, or the owner says unavailable: refuse_late, refuse_unavailable. */
+  /* refuse_deadline_passed, or refuse_unavailable if the owner is unavailable. */
   :: atomic { !ran[n] && !gave_up[n] -> gave_up[n] = true }
-  /* asker_core::query, then note_replaced: the holder has said "not run". */
+  /* claim_client_core::query_holder, then set_replaced_nonce: the holder reported "not run". */
   :: atomic { holder[n] != NOBODY && !gave_up[n] && !ran[n] ->
 #ifndef REPLACE_UNASKED
        if
@@ -91,11 +91,11 @@
 take_over:
   n = NOBODY; found = NOBODY; name = 0;
   if :: takeovers > 0 -> takeovers-- :: else -> goto stop fi;
-  atomic {                 /* owner_core::read_tail_object, keep_tail */
+  atomic {                 /* owner_core::read_tail_object, load_tail */
     my_version = version; my_epoch = epoch; my_entry = entry;
     my_listed = listed; my_name = listed_name; my_forgotten = forgotten
   }
-  atomic {                 /* owner_core::read_next_segment, load */
+  atomic {                 /* owner_core::read_next_segment, load_segment */
     found = my_entry;
     if
     :: my_listed && segment[my_name] == 255 -> goto take_over   /* note_missing_segment */
@@ -103,7 +103,7 @@
     :: else -> skip
     fi
   }
-  atomic {                 /* owner_core::announce */
+  atomic {                 /* owner_core::write_takeover */
     if
     :: version == my_version ->
        version++; my_version = version;
@@ -113,7 +113,7 @@
   }
 serving:
   do
-  /* owner_core::admit: answer_from_memory, or gather. */
+  /* owner_core::admit: answer_from_contents, or pending_claims::enqueue. */
   :: atomic { n = NOBODY;
        if
        :: asked[1] && !ran[1] -> n = 1
@@ -125,7 +125,7 @@
      :: atomic { found != NOBODY && found != n && replaces[n] != found ->
           holder[n] = found; n = NOBODY }
      :: atomic { free_for(n) && may_be_forgotten -> n = NOBODY }
-     /* Its own clock may run behind: only the tail's word counts. */
+     /* The owner's clock may be behind, so only the tail decides what is forgotten. */
      :: atomic { free_for(n) && !known_forgotten -> skip }
         /* owner_core::write_batch */
 #ifdef GRANT_BEFORE_LANDED
@@ -134,7 +134,7 @@
         atomic {
           if
 #ifdef BLIND_WRITE
-          :: version < 12 ->    /* a bound, since nothing else ends the writes */
+          :: version < 12 ->    /* bound, since nothing else ends the writes */
 #else
           :: version == my_version ->
 #endif
@@ -149,10 +149,10 @@
           fi
         }
         if
-        :: atomic { true -> granted[n] = true; n = NOBODY }      /* batch_landed */
-        /* The answer is lost. */
+        :: atomic { true -> granted[n] = true; n = NOBODY }      /* commit_batch */
+        /* The store's answer is lost. */
         :: true ->
-           atomic {            /* read back: is_ours, else lose */
+           atomic {            /* read back: is_own_update, otherwise lose_ownership */
              if
              :: version == my_version -> granted[n] = true; n = NOBODY
              :: version != my_version ->
@@ -175,10 +175,10 @@
 #endif
        if
        :: segment[name] == 255 -> segment[name] = my_entry
-       :: else -> skip      /* our own earlier create: the name has one content only */
+       :: else -> skip      /* this owner's earlier create; a name only ever has one content */
        fi
      }
-     atomic {                /* shard_contents::list_created */
+     atomic {                /* shard_contents::list_created_segment */
        if
 #ifdef BLIND_WRITE
        :: version < 12 ->
@@ -193,7 +193,7 @@
 #endif
        fi
      }
-  /* shard_contents::forget: unlist what is past retention, then delete it. */
+  /* shard_contents::expire_segments: unlists, then deletes segments past retention. */
   :: too_old && my_listed ->
      atomic {
        if
@@ -210,7 +210,7 @@
 #endif
        fi
      }
-     segment[my_name] = 255  /* owner_core::delete_retired, however late */
+     segment[my_name] = 255  /* owner_core::delete_retired, after any delay */
   /* ownership_desired{false}, and desired again later. */
   :: true -> goto take_over
   od;
--- a/models/membership_config.pml
+++ b/models/membership_config.pml
@@ -1,25 +1,25 @@
-/* Leaving and configuration, over three daemons that gossip.
+/* Leaving endpoints and configuration revisions, with three daemons that gossip.
  *
- * Leaving: an endpoint's record is (incarnation, state), of which the higher wins, so a daemon that
- * has heard of the notice gives the endpoint no new work, whatever stale record arrives later.
- * Configuration: a daemon in force at revision r never applies a lower one, and one that restarts
- * asks its peers for their floor before it serves.
+ * Leaving: an endpoint's record is (incarnation, state) and the higher one wins. So a daemon that
+ * knows of the reclaim notice sends the endpoint no new work, even if a stale record arrives later.
+ * Configuration: a daemon that uses revision r never applies a lower one, and a restarted daemon
+ * asks its peers for their floor, the highest revision that one of them uses, before it serves.
  *
  * Negative controls, each of which must fail:
- *   LIVE_WINS       a record that arrives replaces the known one
- *   NO_INCARNATION  the endpoint that comes back keeps the incarnation of the one that left
- *   ANY_REVISION    a daemon applies whatever revision it reads, also a stale one
+ *   LIVE_WINS       a received record replaces the known one
+ *   NO_INCARNATION  an endpoint that returns keeps the incarnation of the one that left
+ *   ANY_REVISION    a daemon applies any revision that it reads, even a stale one
  *   NO_FLOOR        a restarted daemon serves before it has asked its peers
  */
 #define DAEMONS 3
-#define ROUNDS 1    /* gossips and reads of each daemon */
+#define ROUNDS 1    /* gossip exchanges and store reads of each daemon */
 #define LIVE 0
 #define LEAVING 1
 #define REVISIONS 2
 
-/* A record as one number: 2 * incarnation + state; the higher wins (membership join). */
+/* A record as one number, 2 * incarnation + state; the higher one wins (membership join). */
 byte record[DAEMONS];
-bool heard[DAEMONS];      /* the notice has reached this daemon */
+bool heard[DAEMONS];      /* the reclaim notice has reached this daemon */
 byte incarnation = 1;
 bool noticed = false;
 bool rejoined = false;
@@ -42,7 +42,7 @@
 #endif
 }
 
-inline apply_revision(d, r) { /* objects: apply only a higher revision than the highest seen */
+inline apply_revision(d, r) { /* objects: applies only a revision above the highest seen */
 #ifdef ANY_REVISION
   assert(!serving[d] || r >= in_force[d]);
   in_force[d] = r
@@ -54,7 +54,7 @@
 #endif
 }
 
-/* The endpoint that left never gets new work from a daemon that has heard of it. */
+/* A daemon that knows of the reclaim notice never sends the endpoint new work. */
 inline dispatch(d) {
   if
   :: record[d] == RECORD(1, LIVE) -> assert(!heard[d])
@@ -67,7 +67,7 @@
   do
   :: rounds == ROUNDS -> break
   :: atomic { serving[d] -> dispatch(d) }
-  /* Gossip: read a peer's view now, merge it later, when it may be stale. */
+  /* Gossip: reads a peer's view now and merges it later, when it may be stale. */
   :: rounds < ROUNDS -> rounds++;
      atomic { if :: other = (d + 1) % DAEMONS :: other = (d + 2) % DAEMONS fi;
        carried = record[other]; r = in_force[other] }
@@ -76,7 +76,7 @@
        if :: carried == RECORD(1, LEAVING) -> heard[d] = true :: else -> skip fi;
        apply_revision(d, r)
      }
-  /* A read of the store, possibly stale. */
+  /* Reads the store, possibly a stale state. */
   :: rounds < ROUNDS -> rounds++;
      atomic { if :: r = store_revision :: r = 1 fi }
      atomic { apply_revision(d, r) }
@@ -86,9 +86,9 @@
 /* The reclaim notice reaches one daemon. */
 proctype notice() {
   atomic { noticed = true; merge_record(0, RECORD(1, LEAVING)); heard[0] = true }
-  /* The instance list lags: it still says live. */
+  /* The instance list lags behind and still shows the endpoint as live. */
   atomic { merge_record(0, RECORD(1, LIVE)) }
-  /* Another endpoint starts under the same name. */
+  /* Another endpoint starts with the same name. */
   atomic {
 #ifdef NO_INCARNATION
     record[1] = RECORD(1, LIVE);
@@ -106,13 +106,13 @@
   od
 }
 
-/* Daemon 2 is replaced by a new one that knows nothing. */
+/* Daemon 2 is replaced by a new one without any state. */
 proctype restart() {
   byte floor;
   atomic {
     serving[2] = false; in_force[2] = 0; record[2] = 0; heard[2] = false
   }
-  /* Asks its peers: what they have in force and their records come in one answer each. */
+  /* Asks its peers; each answer has the peer's revision in use and its records. */
   atomic {
     floor = in_force[0];
     if :: in_force[1] > floor -> floor = in_force[1] :: else -> skip fi;
@@ -120,7 +120,7 @@
     apply_revision(2, floor);
 #endif
   }
-  /* A stale read of the store. */
+  /* Reads a stale state of the store. */
   atomic { apply_revision(2, 1) }
   atomic {
     assert(in_force[2] >= floor);
--- a/samples/01_selectors.cc
+++ b/samples/01_selectors.cc
@@ -1,7 +1,7 @@
 // Sample 1: selectors over labels.
 //
-// Parses a selector, matches it against the labels of two workspaces, and shows what a malformed
-// selector says.
+// Parses a selector, matches it against the labels of three workspaces, and prints the error of a
+// malformed selector.
 
 #include <cstdlib>
 #include <iostream>
@@ -12,19 +12,19 @@
 
 namespace objects = wisteriaflow::objects;
 
-void show_match(const objects::selector& chosen, const objects::label_set& labels)
+void show_match(const objects::selector& selector, const objects::label_set& labels)
 {
-  const auto* answer = chosen.matches(labels) ? "selected" : "left out";
-  std::cout << "  " << objects::to_string(labels) << ": " << answer << '\n';
+  const auto* result = selector.matches(labels) ? "selected" : "left out";
+  std::cout << "  " << objects::to_string(labels) << ": " << result << '\n';
 }
 
 void show_selector()
 {
-  const auto chosen = objects::parse_selector("tier in (guest,gold), region=hcmc, !retired");
-  std::cout << objects::to_string(chosen) << '\n';
-  show_match(chosen, {{"tier", "guest"}, {"region", "hcmc"}});
-  show_match(chosen, {{"tier", "guest"}, {"region", "hcmc"}, {"retired", "yes"}});
-  show_match(chosen, {{"tier", "nightly"}, {"region", "hcmc"}});
+  const auto selector = objects::parse_selector("tier in (guest,gold), region=hcmc, !retired");
+  std::cout << objects::to_string(selector) << '\n';
+  show_match(selector, {{"tier", "guest"}, {"region", "hcmc"}});
+  show_match(selector, {{"tier", "guest"}, {"region", "hcmc"}, {"retired", "yes"}});
+  show_match(selector, {{"tier", "nightly"}, {"region", "hcmc"}});
 }
 
 void show_malformed()
--- a/samples/02_configuration.cc
+++ b/samples/02_configuration.cc
@@ -1,7 +1,7 @@
 // Sample 2: declared objects, checked as one configuration.
 //
-// Builds a fleet_configuration from JSON documents as an operator writes them, asks it which
-// routing intent a request follows, and shows the faults of a configuration that is not valid.
+// Builds a fleet_configuration from JSON documents as an operator writes them, prints the routing
+// intents that match a request, and prints the faults of an invalid configuration.
 
 #include <cstdint>
 #include <cstdlib>
@@ -32,7 +32,7 @@
             "batch": true, "price_preference": "cost"}}
 ])";
 
-constexpr std::string_view faulty = R"([
+constexpr std::string_view invalid_declarations = R"([
   {"kind": "Pool", "metadata": {"name": "language"}, "spec": {"model": "unheard-of"}},
   {"kind": "RoutingIntent", "metadata": {"name": "guests"},
    "spec": {"pool": "language", "priority": 101}}
@@ -63,7 +63,7 @@
 void show_faults()
 {
   try {
-    static_cast<void>(objects::make_fleet_configuration(1, documents_in(faulty)));
+    static_cast<void>(objects::make_fleet_configuration(1, documents_in(invalid_declarations)));
   } catch (const objects::configuration_error& e) {
     std::cout << "faults:\n";
     for (const auto& fault : e.violations()) {
--- a/samples/03_choose_endpoint.cc
+++ b/samples/03_choose_endpoint.cc
@@ -1,7 +1,8 @@
 // Sample 3: the choice of an endpoint, and its explanation.
 //
-// Three endpoints: a cheap reclaimable one with a queue, a dear idle one in the same availability
-// zone, and an idle one in another zone. The choice names one; the explanation has a line for each.
+// Chooses among three endpoints: a cheap reclaimable one with queued requests, an expensive idle
+// one in the same availability zone, and an idle one in another zone. Prints the chosen endpoint,
+// and the explanation with one line for each candidate.
 
 #include <chrono>
 #include <cstdint>
@@ -45,7 +46,7 @@
 
 void show_choice()
 {
-  const mono_time now{1h}; // any point in time: the library reads no clock
+  const mono_time now{1h}; // any time will do, since the library reads no clock
   const auto table = make_table(now);
   const routing::prefix_cache_index prefixes({});
   const routing::routing_options options{.availability_zone = availability_zone("zone-a")};
@@ -55,9 +56,9 @@
                                       .target = now + 540ms,
                                       .deadline = now + 10s};
   std::mt19937_64 random(seed);
-  auto same_random = random; // so that the explanation speaks of the very same choice
-  const auto made = routing::choose_endpoint(view, request, table.slots(), now, random);
-  if (const auto* chosen = std::get_if<routing::chosen_endpoint>(&made)) {
+  auto same_random = random; // so that the explanation repeats the same random draws
+  const auto result = routing::choose_endpoint(view, request, table.slots(), now, random);
+  if (const auto* chosen = std::get_if<routing::chosen_endpoint>(&result)) {
     std::cout << "chosen: " << table.at(chosen->slot).description.id.value() << '\n';
   }
   for (const auto& line : routing::explain_choice(view, request, table.slots(), now, same_random)) {
--- a/samples/04_request_life.cc
+++ b/samples/04_request_life.cc
@@ -1,7 +1,8 @@
-// Sample 4: the life of a request whose endpoint fails in the middle of the answer.
+// Sample 4: the lifecycle of a request whose endpoint fails in the middle of its response.
 //
-// Events go in, actions come out; nothing here opens a socket. The first endpoint breaks after two
-// tokens, the request goes on elsewhere, and a late chunk of the first attempt changes nothing.
+// The state machine takes events and returns actions; no socket is opened. The first endpoint fails
+// after two tokens, the request continues on another endpoint, and a late chunk of the first
+// attempt is ignored.
 
 #include <chrono>
 #include <cstdlib>
@@ -18,7 +19,7 @@
 using wisteriaflow::mono_time;
 using wisteriaflow::wall_time;
 
-// Prints the actions that a shell would carry out.
+// Prints the actions that a daemon's I/O components would perform.
 struct print_action {
   void operator()(const requests::start_attempt& a) const
   {
@@ -40,57 +41,63 @@
   {
     std::cout << "  send head, status " << a.status << '\n';
   }
-  // Claims, moves and handovers do not occur here.
+  // Claims, moves and handovers do not occur in this sample.
   template <typename Other> void operator()(const Other& /*a*/) const {}
 };
 
-// One request and the time at which its events happen.
-class scene {
+// One request and the fixed time at which all of its events happen.
+class request_simulation {
  public:
-  void happens(const char* what, const requests::request_event& event)
+  void handle_event(const char* what, const requests::request_event& event)
   {
     std::cout << what << '\n';
-    for (const auto& action : life_.handle(event, now_)) {
+    for (const auto& action : lifecycle_.handle(event, now_)) {
       std::visit(print_action{}, action);
     }
   }
 
-  [[nodiscard]] const requests::request_lifecycle& life() const { return life_; }
+  [[nodiscard]] const requests::request_lifecycle& lifecycle() const { return lifecycle_; }
 
  private:
-  requests::request_lifecycle life_{
+  requests::request_lifecycle lifecycle_{
       {.request_id = "r1", .model = "phrasebook", .streamed = true, .prompt_tokens = 800}};
   clock_reading now_{.mono = mono_time{std::chrono::hours{1}},
                      .wall = wall_time{std::chrono::hours{1}}};
 };
 
-void play()
+void run_example()
 {
-  scene s;
-  s.happens("admitted", requests::admission_granted{});
-  s.happens("sent to e1", requests::attempt_started{.attempt = 1, .endpoint = endpoint_id("e1")});
-  s.happens("head of the answer", requests::attempt_head{.attempt = 1});
-  s.happens("token 0", requests::token_arrived{.attempt = 1, .offset = 0, .text = "Take "});
-  s.happens("token 1", requests::token_arrived{.attempt = 1, .offset = 1, .text = "the "});
-  s.happens("e1 breaks", requests::attempt_failed{.attempt = 1});
-  s.happens("a retry is allowed", requests::retry_granted{});
-  s.happens("sent to e2", requests::attempt_started{.attempt = 2, .endpoint = endpoint_id("e2")});
-  s.happens("a late chunk of e1",
-            requests::token_arrived{.attempt = 1, .offset = 2, .text = "late"});
-  s.happens("token 2", requests::token_arrived{.attempt = 2, .offset = 2, .text = "lift."});
-  s.happens("e2 has ended",
-            requests::attempt_finished{.attempt = 2, .tokens = 3, .finish_reason = "stop"});
+  request_simulation simulation;
+  simulation.handle_event("admitted", requests::admission_granted{});
+  simulation.handle_event("sent to e1",
+                          requests::attempt_started{.attempt = 1, .endpoint = endpoint_id("e1")});
+  simulation.handle_event("head of the answer", requests::attempt_head{.attempt = 1});
+  simulation.handle_event("token 0",
+                          requests::token_arrived{.attempt = 1, .offset = 0, .text = "Take "});
+  simulation.handle_event("token 1",
+                          requests::token_arrived{.attempt = 1, .offset = 1, .text = "the "});
+  simulation.handle_event("e1 breaks", requests::attempt_failed{.attempt = 1});
+  simulation.handle_event("a retry is allowed", requests::retry_granted{});
+  simulation.handle_event("sent to e2",
+                          requests::attempt_started{.attempt = 2, .endpoint = endpoint_id("e2")});
+  simulation.handle_event("a late chunk of e1",
+                          requests::token_arrived{.attempt = 1, .offset = 2, .text = "late"});
+  simulation.handle_event("token 2",
+                          requests::token_arrived{.attempt = 2, .offset = 2, .text = "lift."});
+  simulation.handle_event("e2 has ended", requests::attempt_finished{
+                                              .attempt = 2, .tokens = 3, .finish_reason = "stop"});
   std::cout << "the caller has: ";
-  for (const auto& token : s.life().tokens()) {
+  for (const auto& token : simulation.lifecycle().tokens()) {
     std::cout << token;
   }
-  std::cout << "\nrecomputed tokens, estimated: " << s.life().recomputed_tokens() << '\n';
+  std::cout << "\nrecomputed tokens, estimated: " << simulation.lifecycle().recomputed_tokens()
+            << '\n';
 }
 
 } // namespace
 
 int main()
 {
-  play();
+  run_example();
   return EXIT_SUCCESS;
 }
--- a/scripts/check-docs.sh
+++ b/scripts/check-docs.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Checks the pages against the code: links and their anchors, every setting with its default, every
-# metric, and that the one header includes every public header of the pure packages.
+# Checks the documentation against the code: links and their anchors, every setting with its default
+# and every metric. Also checks that wisteriaflow.h includes every public header of the packages
+# without I/O.
 set -euo pipefail
 root=$(cd "$(dirname "$0")/.." && pwd)
 build=${BUILD_DIR:-$root/build}
@@ -8,7 +9,7 @@
 faults=0
 fault() { echo "check-docs: $*" >&2; faults=$((faults + 1)); }
 
-# The anchor that a heading gets: lower case, punctuation dropped, spaces as dashes.
+# Prints the anchors of a page's headings: lower case, without punctuation, spaces as dashes.
 anchors_of() {
   sed -n 's/^##* //p' "$1" | tr '[:upper:]' '[:lower:]' | sed 's/[^a-z0-9 _-]//g; s/ /-/g'
 }
--- a/scripts/check-models.sh
+++ b/scripts/check-models.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Checks every model in models/ and its negative controls (guards removed by a macro): the model
-# must hold with the recorded number of states, each control must fail on an assertion. With
-# --record, writes the state counts to models/EXPECTED.
+# Checks every model in models/ and its negative controls, which are variants with one guard removed
+# by a macro. The model must hold with the recorded number of states, and each control must fail on
+# an assertion. With --record, writes the state counts to models/EXPECTED.
 set -euo pipefail
 root=$(cd "$(dirname "$0")/.." && pwd)
 expected=$root/models/EXPECTED
@@ -12,13 +12,14 @@
 failures=0
 record=""
 
-# Sets `states` and `verdict` (holds, violated or incomplete) for a model with one macro or none.
+# Checks a model with one macro or none. Sets `states` and `verdict` (holds, violated or
+# incomplete).
 check() {
   local model=$1 macro=$2 output
   cd "$work"
   spin -a ${macro:+-D"$macro"} "$root/models/$model.pml" >/dev/null
   gcc -O2 -DSAFETY -DCOLLAPSE -DMEMLIM="$memory_mb" -w -o pan pan.c
-  # -E: a process may stop for ever, so an end anywhere is no error.
+  # -E: a process may stop forever at any step, so an invalid end state is no error.
   output=$(timeout "$seconds" ./pan -E -m100000 2>&1 || true)
   states=$(sed -n 's/^ *\([0-9.e+]*\) states, stored.*/\1/p' <<<"$output")
   if grep -q 'assertion violated' <<<"$output" && ! grep -q 'invalid array' <<<"$output"; then
@@ -50,7 +51,7 @@
     fail "models/EXPECTED has $(grep "^$model " "$expected" || echo none)"
   fi
   report "$model" - "$verdict" "${states:--}" "$note"
-  # The controls are named in the model's head, one a line: three spaces, then the macro.
+  # The comment at the head of a model names the controls, one per line: three spaces and the macro.
   for macro in $(sed -n 's/^ \*   \([A-Z_][A-Z_]*\)  *.*/\1/p' "$file"); do
     check "$model" "$macro"
     note="ok, fails as it must"
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Shows the whole path on loopback: fakes, three daemons in two availability zones, callers, an
-# operator. Ends by itself with 0.
+# Demonstrates the system on loopback: fakes of the platform and endpoints, three daemons in two
+# availability zones, calls, and operator commands. Exits with 0 if all steps succeed.
 set -euo pipefail
 root=$(cd "$(dirname "$0")/.." && pwd)
 build=${BUILD_DIR:-$root/build}
--- a/scripts/generate.sh
+++ b/scripts/generate.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Makes src/generated anew from proto/. With --check: fails if the committed code differs.
+# Regenerates src/generated from proto/. With --check, fails if the committed code differs.
 set -euo pipefail
 root=$(cd "$(dirname "$0")/.." && pwd)
 if ! command -v protoc >/dev/null || ! command -v grpc_cpp_plugin >/dev/null; then
--- a/scripts/lib/fleet.sh
+++ b/scripts/lib/fleet.sh
@@ -1,5 +1,6 @@
-# Functions that start a small fleet on loopback: the fakes of outside systems and a few daemons.
-# Sourced by demo.sh and soak.sh. Ports come from the kernel; everything ends with the script.
+# Functions that start a small fleet on loopback: fakes of external systems and a few daemons.
+# Sourced by demo.sh and by the scripts of bench/. The kernel assigns the ports; all programs are
+# killed when the script exits.
 
 fleet_dir=$(mktemp -d)
 fleet_pids=()
@@ -12,8 +13,8 @@
 }
 trap fleet_stop EXIT
 
-# Starts a program and waits for the first line of its output that matches $2; the line is left in
-# $started_line and the process id in $started_pid. $1: a name; $3 on: the command.
+# Starts a program and waits up to 10 s for the first line of its output that matches $2. Sets
+# $started_line to the line and $started_pid to the process id. $1: a name; from $3: the command.
 start_program() {
   local name=$1 pattern=$2
   shift 2
@@ -32,7 +33,7 @@
   return 1
 }
 
-# Starts a fake; its address is left in $started_address.
+# Starts a fake and sets $started_address to its address. $1: a name; from $2: the command.
 start_fake() {
   local name=$1
   shift
@@ -40,7 +41,8 @@
   started_address=${started_line#listening }
 }
 
-# Starts a daemon. $1: id, $2: availability zone. Leaves its callers' address in $started_address.
+# Starts a daemon and sets $started_address to its address for callers. $1: id, $2: availability
+# zone.
 start_daemon() {
   local id=$1 zone=$2
   cat >"$fleet_dir/$id.ini" <<INI
@@ -76,7 +78,8 @@
     \"checks_fencing\":true,\"price_per_hour\":$5}]}" >/dev/null
 }
 
-# Waits until the daemon at $1 is ready and reaches at least $2 endpoints.
+# Waits until the daemon at $1 is ready and reaches at least $2 endpoints. Fails after 200 tries, 0.05 s
+# apart.
 await_ready() {
   for _ in $(seq 1 200); do
     if curl -sf "http://$1/readyz" >/dev/null; then
@@ -89,7 +92,7 @@
   return 1
 }
 
-# A version 7 UUID, made now.
+# Prints a version 7 UUID for the current time.
 uuid_v7() {
   local ms random
   ms=$(printf '%012x' "$(date +%s%3N)")
--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # Checks formatting and runs clang-tidy over the compile database. Arguments: files to check
-# (default: every C++ source of the project but generated code).
+# (default: every C++ source of the project except generated code).
 set -euo pipefail
 root=$(cd "$(dirname "$0")/.." && pwd)
 build=${BUILD_DIR:-$root/build}
--- a/scripts/make-day.py
+++ b/scripts/make-day.py
@@ -1,5 +1,6 @@
 #!/usr/bin/env python3
-# Prints a day of N troubles drawn from all kinds, for a seed: scripts/make-day.py SEED N > day.toml
+# Prints a scenario of N faults drawn at random from all kinds:
+#   scripts/make-day.py SEED N > day.toml
 import random,sys
 random.seed(int(sys.argv[1]))
 kinds=[
--- a/scripts/setup.sh
+++ b/scripts/setup.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Installs the Debian packages that the build, the checks and the models need. Safe to run again.
+# Installs the Debian packages that the build, the checks and the models need, unless they are
+# installed already.
 set -euo pipefail
 packages=(
   g++ cmake ninja-build ccache git clang-format clang-tidy spin
--- a/scripts/soak.sh
+++ b/scripts/soak.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Runs a small fleet under random faults: scripts/soak.sh [--gateway] --minutes=N --seed=S. Ends
-# with 1 if a promise was broken. With --gateway it is a fleet of gateway daemons.
+# Runs a small fleet under random faults: scripts/soak.sh [--gateway] --minutes=N --seed=S. Exits
+# with 1 if a guarantee was violated. With --gateway, the fleet consists of gateway daemons.
 set -euo pipefail
 root=$(cd "$(dirname "$0")/.." && pwd)
 build=${BUILD_DIR:-$root/build}
