--- a/include/wisteriaflow/capacity/lease_holder.h
+++ b/include/wisteriaflow/capacity/lease_holder.h
@@ -4,7 +4,7 @@
 //
 // - Each new holder increments the lease's fencing number.
 // - A lease may be claimed when its object has not changed for the whole lease duration, measured
-//   on the observer's own monotonic clock; wall clocks of different machines are never compared.
+//   on the observer's own monotonic clock; wall clocks of different instances are never compared.
 //   The holder measures the duration from before it sent the write, so its lease ends no later
 //   than another daemon may claim it.
 // - The lease expires on the holder's own clock: call `may_issue_order` right before each order
--- a/include/wisteriaflow/core/events.h
+++ b/include/wisteriaflow/core/events.h
@@ -50,11 +50,11 @@
 
 // How an exchange failed. Only `not_sent` guarantees that the endpoint received no byte of the
 // request.
-enum class exchange_failure { not_sent, broken, timed_out };
+enum class exchange_failure { not_sent, interrupted, timed_out };
 
 struct exchange_failed {
   exchange_number exchange = 0;
-  exchange_failure failure = exchange_failure::broken;
+  exchange_failure failure = exchange_failure::interrupted;
 };
 
 // The answer to poll_load. `reached` is false if the endpoint did not answer.
--- a/include/wisteriaflow/gateway/answer_verdict.h
+++ b/include/wisteriaflow/gateway/answer_verdict.h
@@ -19,10 +19,10 @@
 
 // Outcome of one attempt.
 enum class attempt_outcome {
-  answered, // a valid answer, forwarded to the caller
-  not_run,  // certainly not run: may be retried, and refused as not run
-  failed,   // may have run: an error answer, forwarded unless the call may be retried
-  broken,   // may have run, and there is no valid answer to forward
+  answered,        // a valid answer, forwarded to the caller
+  not_run,         // certainly not run: may be retried, and refused as not run
+  failed,          // may have run: an error answer, forwarded unless the call may be retried
+  no_valid_answer, // may have run, and there is no valid answer to forward
 };
 
 // Classifies the head of a complete or streamed answer to the request `request_id`.
--- a/include/wisteriaflow/gateway/crash_suspects.h
+++ b/include/wisteriaflow/gateway/crash_suspects.h
@@ -9,7 +9,7 @@
 //
 //   - Of the contents in flight at one endpoint, the one that was present in the most crashes
 //     explains the crash. On a tie, a content without any answer event is preferred: a request
-//     whose answer had begun mostly ran next to the one that had just started.
+//     whose answer had started mostly ran next to the one that had just started.
 //   - A content that was answered completely does not crash endpoints: earlier reports about it
 //     are ignored.
 //
@@ -43,15 +43,15 @@
 
 // Progress of a request when its endpoint terminated.
 enum class answer_stage {
-  not_begun, // neither an event nor a complete answer had arrived
-  begun,     // at least one event had arrived
+  not_started, // neither an event nor a complete answer had arrived
+  started,     // at least one event had arrived
 };
 
 // A request that was in flight at an endpoint when the endpoint terminated.
 struct crash_observation {
   endpoint_process process;
   content_id content;
-  answer_stage stage = answer_stage::not_begun;
+  answer_stage stage = answer_stage::not_started;
   wall_time at; // by the fleet's common clock
 
   friend bool operator==(const crash_observation&, const crash_observation&) = default;
--- a/include/wisteriaflow/gateway/endpoint_health.h
+++ b/include/wisteriaflow/gateway/endpoint_health.h
@@ -1,7 +1,7 @@
 // Ejects endpoints for a limited time according to failures of this daemon's own calls (outlier
 // ejection with exponential backoff).
 //
-//   if (health.on_failure(id, endpoint_failure::broken, now)) { ... log the ejection ... }
+//   if (health.on_failure(id, endpoint_failure::exchange_failed, now)) { ... log the ejection ... }
 //   if (now < health.ejected_until(id)) { ... prefer other endpoints ... }
 
 #ifndef WISTERIAFLOW_GATEWAY_ENDPOINT_HEALTH_H_
@@ -18,9 +18,9 @@
 
 // How an attempt at an endpoint failed.
 enum class endpoint_failure {
-  failed,      // an error answer, which the request may have caused
-  broken,      // connection lost, malformed answer or time-out
-  unreachable, // no connection: no process at the address, or a network failure
+  failed,          // an error answer, which the request may have caused
+  exchange_failed, // connection lost, malformed answer or timeout
+  unreachable,     // no connection: no process at the address, or a network failure
 };
 
 struct endpoint_health_options {
@@ -28,7 +28,7 @@
   std::chrono::milliseconds ejection_backoff{400};
   std::chrono::milliseconds max_ejection{3'000};
   // Each endpoint has a failure score. At `ejection_threshold` it is ejected; an error answer adds
-  // 1, a lost connection or a time-out adds `ejection_threshold`, a success subtracts
+  // 1, a lost connection or a timeout adds `ejection_threshold`, a success subtracts
   // `success_credit`. With 0.4, an endpoint that fails a seventh of its calls stays in use, and one
   // that fails three in ten is ejected.
   double ejection_threshold = 1.5;
--- a/include/wisteriaflow/gateway/endpoint_pool.h
+++ b/include/wisteriaflow/gateway/endpoint_pool.h
@@ -80,7 +80,7 @@
   // Assumed prefill rate until an endpoint's own rate is measured.
   double initial_prefill_rate = 30'000; // tokens/s
   // An endpoint that this many peers report as unreachable is ejected here as well, so that not
-  // every daemon has to find out by time-outs of its own. A single peer may itself be disconnected
+  // every daemon has to find out by timeouts of its own. A single peer may itself be disconnected
   // from the network.
   std::uint32_t unreachable_quorum = 2;
 };
@@ -93,7 +93,7 @@
   mono_time target;
   mono_time deadline;
   std::span<const endpoint_id> excluded;
-  version_selection lane = {};
+  version_selection versions = {};
   // Whether the call may still be refused as not run. If not, it is sent to the least loaded
   // endpoint even if it is likely to miss its deadline.
   bool may_be_refused = true;
@@ -187,10 +187,10 @@
   void set_fleet(fleet_view fleet, mono_time now) { terms_.set_fleet(std::move(fleet), now); }
 
   // Applies the terms in an answer of an endpoint or in a report of a peer; terms_to_gossip returns
-  // those of up to `most` endpoints for the next report to peers.
+  // those of up to `max_count` endpoints for the next report to peers.
   terms_action on_answer(const answer_terms& answer, mono_time now);
   terms_action on_peer_terms(const peer_terms& received, mono_time now);
-  [[nodiscard]] std::vector<peer_terms> terms_to_gossip(std::size_t most, mono_time now);
+  [[nodiscard]] std::vector<peer_terms> terms_to_gossip(std::size_t max_count, mono_time now);
   // Number of endpoints with a rate limit, and of endpoints that have asked this daemon for a
   // pause.
   [[nodiscard]] std::size_t rate_limited_count() const { return terms_.rate_limited_count(); }
@@ -238,14 +238,14 @@
     std::vector<routing::endpoint_slot> ejected;
     // Earliest time at which one of the endpoints opens that accept no request now under the terms
     // that they have stated.
-    std::optional<mono_time> opens_at;
+    std::optional<mono_time> next_allowed_at;
   };
 
   [[nodiscard]] candidates candidates_for(const selection_criteria& criteria, mono_time now) const;
-  // Result for a call that cannot be sent to any endpoint before `opens_at`.
-  routing::no_endpoint reject_until(const selection_criteria& criteria, mono_time opens_at);
+  // Result for a call that cannot be sent to any endpoint before `next_allowed_at`.
+  routing::no_endpoint reject_until(const selection_criteria& criteria, mono_time next_allowed_at);
   // Keeps as few endpoints of the version on trial as its part of the traffic needs, in proportion
-  // to the number of present endpoints; see version_lane.
+  // to the number of present endpoints; see version_selection.
   void limit_trial_endpoints(const selection_criteria& criteria,
                              std::vector<routing::endpoint_slot>& open) const;
   // Endpoints to which the fleet sends prompts with this one's shared parts; see shared_prefix.h.
--- a/include/wisteriaflow/gateway/endpoint_work.h
+++ b/include/wisteriaflow/gateway/endpoint_work.h
@@ -26,9 +26,9 @@
 
 using endpoint_work_map = std::map<endpoint_id, endpoint_work>;
 
-// The `most` entries of `work` that are most important to peers: unreachable endpoints first, then
-// those with the most waiting tokens.
-[[nodiscard]] endpoint_work_map top_endpoints(endpoint_work_map work, std::size_t most);
+// The `max_count` entries of `work` that are most important to peers: unreachable endpoints first,
+// then those with the most waiting tokens.
+[[nodiscard]] endpoint_work_map top_endpoints(endpoint_work_map work, std::size_t max_count);
 
 } // namespace wisteriaflow::gateway
 
--- a/include/wisteriaflow/gateway/peer_report.h
+++ b/include/wisteriaflow/gateway/peer_report.h
@@ -78,7 +78,7 @@
   std::vector<peer_terms> terms; // terms that endpoints have stated
   endpoint_view endpoints;       // how current the sender's view of the endpoints is
   std::vector<usage_row> usage;
-  // Roll-out orders, complete up to the store revision `rollouts_revision`, and the outcomes of the
+  // Rollout orders, complete up to the store revision `rollouts_revision`, and the outcomes of the
   // sender's calls on the two versions of each.
   rollout_registry::entries rollouts;
   std::uint64_t rollouts_revision = 0;
--- a/include/wisteriaflow/gateway/rate_shares.h
+++ b/include/wisteriaflow/gateway/rate_shares.h
@@ -1,12 +1,12 @@
 // This daemon's shares of the rates at which endpoints accept requests from the whole fleet.
 //
-// Sending a request needs no coordination. Among the daemons that hear each other, a few hold a
-// share of an endpoint's rate, selected by rendezvous hashing; the others send nothing there. The
-// number of holders is bounded, since each may have saved up a request: if every daemon had a
-// share, a large fleet would exceed a low rate by the number of daemons alone.
+// Sending a request needs no coordination. Among the daemons with recent reports of each other, a
+// few hold a share of an endpoint's rate, selected by rendezvous hashing; the others send nothing
+// there. The number of holders is bounded, since each may have saved up a request: if every daemon
+// had a share, a large fleet would exceed a low rate by the number of daemons alone.
 //
 //   shares.set(endpoint, 1.5, now);
-//   if (shares.open_at(endpoint, now) <= now) {
+//   if (shares.next_allowed_at(endpoint, now) <= now) {
 //     shares.take(endpoint, now);
 //     ... send one request ...
 //   }
@@ -41,7 +41,7 @@
 
   // When one more request may be sent: `now`, or later. If this daemon holds no share, the time at
   // which one of the holders may send its next request.
-  [[nodiscard]] mono_time open_at(const endpoint_id& id, mono_time now) const;
+  [[nodiscard]] mono_time next_allowed_at(const endpoint_id& id, mono_time now) const;
 
   // Consumes one request of this daemon's share.
   void take(const endpoint_id& id, mono_time now);
--- a/include/wisteriaflow/gateway/return_time.h
+++ b/include/wisteriaflow/gateway/return_time.h
@@ -5,7 +5,7 @@
 // gets its own time after the moment at which capacity is available: more urgent ranks come first,
 // and the calls of one rank are spread evenly.
 //
-//   const auto at = retry_time({.now = now, .open_at = available_at, .rank = priority}, rng);
+//   const auto at = retry_time({.now = now, .available_at = capacity_at, .rank = priority}, rng);
 
 #ifndef WISTERIAFLOW_GATEWAY_RETURN_TIME_H_
 #define WISTERIAFLOW_GATEWAY_RETURN_TIME_H_
@@ -19,13 +19,13 @@
 
 struct refused_call {
   mono_time now;
-  std::optional<mono_time> open_at; // when capacity becomes available, if known
-  int rank = 0;                     // 0 is the most urgent
+  std::optional<mono_time> available_at; // when capacity becomes available, if known
+  int rank = 0;                          // 0 is the most urgent
 
   friend bool operator==(const refused_call&, const refused_call&) = default;
 };
 
-// Returns a time in the future and never before `call.open_at`.
+// Returns a time in the future and never before `call.available_at`.
 [[nodiscard]] mono_time retry_time(const refused_call& call, std::mt19937_64& rng);
 
 } // namespace wisteriaflow::gateway
--- a/include/wisteriaflow/gateway/rollout.h
+++ b/include/wisteriaflow/gateway/rollout.h
@@ -1,4 +1,4 @@
-// Operators' orders to move a service's traffic to another version (roll-outs), and the progress of
+// Operators' orders to move a service's traffic to another version (rollouts), and the progress of
 // each.
 //
 // Daemons exchange what they know of each order and merge it: updates of the same order by the
--- a/include/wisteriaflow/gateway/rollout_codec.h
+++ b/include/wisteriaflow/gateway/rollout_codec.h
@@ -1,4 +1,4 @@
-// JSON encoding of roll-out orders and of their outcome rows, for the daemons' reports.
+// JSON encoding of rollout orders and of their outcome rows, for the daemons' reports.
 
 #ifndef WISTERIAFLOW_GATEWAY_ROLLOUT_CODEC_H_
 #define WISTERIAFLOW_GATEWAY_ROLLOUT_CODEC_H_
--- a/include/wisteriaflow/gateway/rollout_conductor.h
+++ b/include/wisteriaflow/gateway/rollout_conductor.h
@@ -1,4 +1,4 @@
-// Decides when an open roll-out advances or is rolled back, from the counts of the whole fleet.
+// Decides when an open rollout advances or is rolled back, from the counts of the whole fleet.
 //
 // Any coordinator may roll back a bad version. Only the leader, which holds the fleet lease, moves
 // traffic and declares an order successful. On success the endpoints of the old version are stopped
--- a/include/wisteriaflow/gateway/scaling_planner.h
+++ b/include/wisteriaflow/gateway/scaling_planner.h
@@ -49,8 +49,8 @@
 
 enum class order_result {
   accepted,
-  sold_out,   // none available there at the moment
-  unanswered, // no answer: the order may have been accepted
+  capacity_exhausted, // none available there at the moment
+  unanswered,         // no answer: the order may have been accepted
 };
 
 // The current state of a service.
@@ -80,7 +80,7 @@
   // again before they could be replaced. A longer time pays for idle endpoints.
   std::chrono::milliseconds demand_window{6'000};
   // A zone that had no endpoints available is asked again after this time.
-  std::chrono::milliseconds sold_out_backoff{1'500};
+  std::chrono::milliseconds capacity_exhausted_backoff{1'500};
   // Until there is work, the existing endpoints are assumed to be busy for this fraction of their
   // time: whoever started the fleet knew roughly how much work to expect.
   double assumed_utilisation = 0.3;
@@ -156,7 +156,7 @@
                        std::vector<endpoint_order>& to);
   void add_order(const endpoint_order& order, const scaling_input& in, mono_time now,
                  std::vector<endpoint_order>& to);
-  [[nodiscard]] bool is_sold_out(const endpoint_group& group, mono_time now) const;
+  [[nodiscard]] bool is_capacity_exhausted(const endpoint_group& group, mono_time now) const;
 
   scaling_planner_options options_;
   std::map<endpoint_group, sent_order> orders_;
--- a/include/wisteriaflow/gateway/stated_terms.h
+++ b/include/wisteriaflow/gateway/stated_terms.h
@@ -11,7 +11,7 @@
 //   if (terms.on_answer(answer, now) == terms_action::gossip) {
 //     ... send terms.to_gossip(32, is_in_use, now) to the peers ...
 //   }
-//   if (terms.open_at(id, now) <= now) { terms.on_sent(id, now); ... }
+//   if (terms.next_allowed_at(id, now) <= now) { terms.on_sent(id, now); ... }
 
 #ifndef WISTERIAFLOW_GATEWAY_STATED_TERMS_H_
 #define WISTERIAFLOW_GATEWAY_STATED_TERMS_H_
@@ -79,17 +79,17 @@
   void tick(mono_time now);
 
   // When one more request may be sent to the endpoint: `now`, or later.
-  [[nodiscard]] mono_time open_at(const endpoint_id& id, mono_time now) const;
+  [[nodiscard]] mono_time next_allowed_at(const endpoint_id& id, mono_time now) const;
   // Counts a request to the endpoint against its rate.
   void on_sent(const endpoint_id& id, mono_time now) { shares_.take(id, now); }
 
   // Whether the process has stated that it is leaving.
   [[nodiscard]] bool is_leaving(const endpoint_process& process) const;
 
-  // Terms of up to `most` endpoints for a report to peers: changed terms first, then those of the
-  // other endpoints in use, each group in rotation.
+  // Terms of up to `max_count` endpoints for a report to peers: changed terms first, then those of
+  // the other endpoints in use, each group in rotation.
   using in_use = std::function<bool(const endpoint_id&)>;
-  [[nodiscard]] std::vector<peer_terms> to_gossip(std::size_t most, const in_use& is_in_use,
+  [[nodiscard]] std::vector<peer_terms> to_gossip(std::size_t max_count, const in_use& is_in_use,
                                                   mono_time now);
 
   // Number of endpoints that have asked this daemon for a pause that has not ended.
@@ -118,8 +118,8 @@
 
   // Appends selected entries to `out`, starting after the last one sent.
   template <typename predicate>
-  void append_round_robin(std::vector<peer_terms>& out, std::size_t most, predicate is_selected,
-                          mono_time now);
+  void append_round_robin(std::vector<peer_terms>& out, std::size_t max_count,
+                          predicate is_selected, mono_time now);
 
   rate_shares shares_;
   entry_map entries_;
--- a/include/wisteriaflow/gateway/version_counts.h
+++ b/include/wisteriaflow/gateway/version_counts.h
@@ -1,4 +1,4 @@
-// Outcomes of calls on both versions of a roll-out, counted by every daemon and merged over the
+// Outcomes of calls on both versions of a rollout, counted by every daemon and merged over the
 // fleet.
 //
 // Counts are kept by route, and those of the target also by endpoint, so that one faulty endpoint
--- a/include/wisteriaflow/gateway/version_gate.h
+++ b/include/wisteriaflow/gateway/version_gate.h
@@ -1,6 +1,6 @@
 // Decides by its version whether an endpoint may be used.
 //
-// Endpoints of a new version start as soon as its roll-out is ordered, and the store may show them
+// Endpoints of a new version start as soon as its rollout is ordered, and the store may show them
 // to a daemon before it shows the order. A version of a service that is new to this daemon is
 // therefore used only once the orders are known up to a store revision at which the endpoint
 // existed. If no order names the version by then, it needs no trial.
--- a/include/wisteriaflow/gateway/version_judge.h
+++ b/include/wisteriaflow/gateway/version_judge.h
@@ -1,4 +1,4 @@
-// Decides whether the target version of a roll-out is worse than the baseline, by comparing the
+// Decides whether the target version of a rollout is worse than the baseline, by comparing the
 // outcomes of their calls on the same route at the same time.
 //
 // The test is sequential: it may be evaluated as often as wanted. If the versions are equally good,
@@ -35,7 +35,7 @@
 namespace wisteriaflow::gateway {
 
 struct version_evaluator_options {
-  // Probability of a wrong conclusion over a whole roll-out, divided evenly between the tests from
+  // Probability of a wrong conclusion over a whole rollout, divided evenly between the tests from
   // the start and the later ones.
   double max_false_positive_rate = 0.005;
   // Number of tests among which the permitted error is divided: routes, times two kinds of bad
--- a/include/wisteriaflow/gateway/version_traffic.h
+++ b/include/wisteriaflow/gateway/version_traffic.h
@@ -1,4 +1,4 @@
-// Chooses the version of a service that a call goes to while a roll-out is open, and counts the
+// Chooses the version of a service that a call goes to while a rollout is open, and counts the
 // outcomes.
 //
 // During the trial the target gets a fixed fraction of this daemon's own calls of each route and no
@@ -33,7 +33,7 @@
 // The endpoints of a service that a call may go to.
 struct version_selection {
   enum class subset {
-    any,      // no roll-out is open
+    any,      // no rollout is open
     baseline, // all endpoints except those of the target
     trial,    // a few endpoints of the target
     target,   // all endpoints of the target
@@ -97,7 +97,7 @@
   // Sets this daemon's share of the calls that the fleet may send beyond the fraction.
   void set_extra_calls(double calls) { options_.extra_calls = calls; }
 
-  // Whether a roll-out of the service is open.
+  // Whether a rollout of the service is open.
   [[nodiscard]] bool is_open(std::string_view service) const { return open_.contains(service); }
 
   // Selects the endpoints for a new call. A call that is sent again (`is_repeat`) goes to the
--- a/include/wisteriaflow/requests/move_choice.h
+++ b/include/wisteriaflow/requests/move_choice.h
@@ -1,5 +1,5 @@
 // Decides what happens to a running generation when its endpoint gets notice that the cloud will
-// reclaim its machine.
+// reclaim its instance.
 
 #ifndef WISTERIAFLOW_REQUESTS_MOVE_CHOICE_H_
 #define WISTERIAFLOW_REQUESTS_MOVE_CHOICE_H_
--- a/include/wisteriaflow/requests/request_events.h
+++ b/include/wisteriaflow/requests/request_events.h
@@ -153,7 +153,7 @@
   friend bool operator==(const retry_denied&, const retry_denied&) = default;
 };
 
-// The cloud will reclaim the machine of `endpoint`. Ignored by requests that run on another
+// The cloud will reclaim the instance of `endpoint`. Ignored by requests that run on another
 // endpoint.
 struct reclaim_announced {
   endpoint_id endpoint;
--- a/src/capacity/lease_holder.cc
+++ b/src/capacity/lease_holder.cc
@@ -176,7 +176,7 @@
   }
   [[nodiscard]] bool is_idle() const { return fsm_.current == phase::idle; }
   // No orders are issued once the release of the lease has begun.
-  [[nodiscard]] bool may_give_orders() const
+  [[nodiscard]] bool may_issue_order() const
   {
     return is_holder() && fsm_.current != phase::releasing;
   }
@@ -237,7 +237,7 @@
 
 bool lease_client::holds(mono_time now) const
 {
-  return machine_->may_give_orders() && now < machine_->core().deadline();
+  return machine_->may_issue_order() && now < machine_->core().deadline();
 }
 
 bool lease_client::may_issue_order(bool checks_fencing, mono_time now) const
--- a/src/capacity/mix.cc
+++ b/src/capacity/mix.cc
@@ -251,10 +251,10 @@
 // Zones by the price of their cheapest capacity, cheapest first.
 std::vector<std::size_t> zones_by_price(const mix_problem& problem, const mix_search& search)
 {
-  std::vector<double> least(search.zones(), std::numeric_limits<double>::max());
+  std::vector<double> cheapest(search.zones(), std::numeric_limits<double>::max());
   for (std::size_t i = 0; i < problem.columns.size(); ++i) {
     const auto& c = problem.columns[i];
-    auto& price = least[search.zone_of(i)];
+    auto& price = cheapest[search.zone_of(i)];
     if (c.limit > 0) {
       price = std::min(price, c.price_per_hour / std::max(c.weight, epsilon));
     }
@@ -264,7 +264,7 @@
     order[i] = i;
   }
   std::stable_sort(order.begin(), order.end(),
-                   [&](std::size_t a, std::size_t b) { return least[a] < least[b]; });
+                   [&](std::size_t a, std::size_t b) { return cheapest[a] < cheapest[b]; });
   return order;
 }
 
--- a/src/core/answer_places.cc
+++ b/src/core/answer_places.cc
@@ -110,7 +110,7 @@
   return it == entries_.end() ? std::string() : it->second.caller_address;
 }
 
-// A caller that is redirected to a daemon that is gone would wait until its own deadline in vain.
+// A caller that is redirected to a daemon that is gone would get no answer until its deadline.
 bool answer_directory::is_usable(const std::string& place) const
 {
   const auto own = to_string(context_.options().caller_address);
--- a/src/core/daemon_core.cc
+++ b/src/core/daemon_core.cc
@@ -180,9 +180,9 @@
     return out;
   }
 
-  void send(call_number call, http::response whole)
+  void send(call_number call, http::response response)
   {
-    context_.emit(caller_action(respond{.call = call, .response = std::move(whole)}));
+    context_.emit(caller_action(respond{.call = call, .response = std::move(response)}));
   }
 
   void on(const caller_closed& e) { requests_.on_caller_closed(e.call); }
--- a/src/core/endpoint_calls.cc
+++ b/src/core/endpoint_calls.cc
@@ -20,11 +20,11 @@
 void endpoint_calls::call(const http::socket_address& to, http::request message, mono_time deadline,
                           std::function<void(const std::optional<http::response>&)> done)
 {
-  const auto whole = std::make_shared<http::response>();
+  const auto response = std::make_shared<http::response>();
   exchange_observer observer;
-  observer.on_head = [whole](const http::response& head) { *whole = head; };
-  observer.on_bytes = [whole](const std::string& bytes) { whole->body += bytes; };
-  observer.on_ended = [whole, done] { done(*whole); };
+  observer.on_head = [response](const http::response& head) { *response = head; };
+  observer.on_bytes = [response](const std::string& bytes) { response->body += bytes; };
+  observer.on_ended = [response, done] { done(*response); };
   observer.on_failed = [done](exchange_failure /*failure*/) { done(std::nullopt); };
   open(to, std::move(message), deadline, false, std::move(observer));
 }
--- a/src/core/request_table.cc
+++ b/src/core/request_table.cc
@@ -449,8 +449,8 @@
 void request_table::send_outcome(call_number call, const requests::outcome& result)
 {
   context_.counters().count("calls_total", {{"outcome", std::string(name_of(result))}});
-  auto whole = to_response(requests::outcome_response(result, context_.now().wall));
-  context_.emit(caller_action(respond{.call = call, .response = std::move(whole)}));
+  auto response = to_response(requests::outcome_response(result, context_.now().wall));
+  context_.emit(caller_action(respond{.call = call, .response = std::move(response)}));
 }
 
 void request_table::send_kept_answer(call_number call, const requests::kept_answer& answer,
--- a/src/core/request_table_actions.cc
+++ b/src/core/request_table_actions.cc
@@ -154,15 +154,16 @@
   const auto deadline = context_.now().mono + context_.options().platform_call_timeout;
   services_.endpoints.call(
       r.running->address, std::move(message), deadline,
-      [this, id = r.id, attempt = a.attempt](const std::optional<http::response>& whole) {
+      [this, id = r.id, attempt = a.attempt](const std::optional<http::response>& response) {
         auto* moving = find(id);
         if (moving == nullptr) {
           return;
         }
         boost::json::error_code ec;
-        const auto document = whole ? boost::json::parse(whole->body, ec) : boost::json::value();
+        const auto document =
+            response ? boost::json::parse(response->body, ec) : boost::json::value();
         const auto* o = document.if_object();
-        if (!whole || whole->status != 200 || o == nullptr || !o->contains("handle")) {
+        if (!response || response->status != 200 || o == nullptr || !o->contains("handle")) {
           feed(*moving, requests::kv_export_failed{attempt});
           return;
         }
--- a/src/core/request_table_attempts.cc
+++ b/src/core/request_table_attempts.cc
@@ -53,7 +53,7 @@
     return requests::failure_kind::connect_failed;
   case exchange_failure::timed_out:
     return requests::failure_kind::timed_out;
-  case exchange_failure::broken:
+  case exchange_failure::interrupted:
     return requests::failure_kind::interrupted;
   }
   return requests::failure_kind::interrupted;
@@ -129,12 +129,12 @@
   const auto deadline = context_.now().mono + context_.options().platform_call_timeout;
   services_.endpoints.call(
       where.address, std::move(message), deadline,
-      [this, id = r.id, a, where](const std::optional<http::response>& whole) {
+      [this, id = r.id, a, where](const std::optional<http::response>& response) {
         auto* moving = find(id);
         if (moving == nullptr || moving->lifecycle.endpoint() != where.endpoint) {
           return;
         }
-        const bool imported = whole && whole->status == status_ok;
+        const bool imported = response && response->status == status_ok;
         context_.counters().count("kv_imports_total", {{"result", imported ? "ok" : "failed"}});
         if (imported || moving->options.idempotent) {
           start_exchange_for(*moving, a, where);
@@ -190,7 +190,7 @@
     context_.log(severity::warn, "an engine's stream is malformed",
                  {{"endpoint", r->running->endpoint.value()}, {"problem", e.what()}});
     services_.endpoints.cancel(r->running->exchange);
-    on_attempt_failed(id, n, exchange_failure::broken);
+    on_attempt_failed(id, n, exchange_failure::interrupted);
     return;
   }
   for (const auto& e : events) {
@@ -297,13 +297,14 @@
   const auto deadline = context_.now().mono + context_.options().platform_call_timeout;
   services_.endpoints.call(
       run.address, std::move(message), deadline,
-      [this, id = r.id, n = run.attempt, confirm](const std::optional<http::response>& whole) {
+      [this, id = r.id, n = run.attempt, confirm](const std::optional<http::response>& response) {
         auto* cancelled = find(id);
         if (cancelled == nullptr || !confirm) {
           return;
         }
-        const bool stopped = whole && (whole->status == status_ok ||
-                                       whole->status == status_not_found || whole->status == 204);
+        const bool stopped =
+            response && (response->status == status_ok || response->status == status_not_found ||
+                         response->status == 204);
         if (!stopped) {
           feed(*cancelled, requests::cancel_failed{n});
           return;
--- a/src/core/request_table_peers.cc
+++ b/src/core/request_table_peers.cc
@@ -104,10 +104,10 @@
     return;
   }
   const auto ask = std::make_shared<std::function<void(int)>>();
-  *ask = [this, id, handed, tries_left, to, weak = std::weak_ptr(ask)](int asks_left) {
+  *ask = [this, id, handed, tries_left, to, weak = std::weak_ptr(ask)](int retries_left) {
     context_.call_peer(
         *to, handed,
-        [this, id, handed, tries_left, asks_left,
+        [this, id, handed, tries_left, retries_left,
          again = weak.lock()](const peer_response* response) {
           auto* waiting = find(id);
           if (waiting == nullptr) {
@@ -115,8 +115,8 @@
           }
           const auto* reply =
               response == nullptr ? nullptr : std::get_if<hand_over_reply>(response);
-          if (reply == nullptr && asks_left > 0) {
-            (*again)(asks_left - 1);
+          if (reply == nullptr && retries_left > 0) {
+            (*again)(retries_left - 1);
             return;
           }
           if (reply != nullptr && reply->accepted) {
--- a/src/daemon/endpoint_side.cc
+++ b/src/daemon/endpoint_side.cc
@@ -65,7 +65,7 @@
                                                   std::shared_ptr<http::cancel_handle> handle)
 {
   const auto number = a.exchange;
-  auto failure = core::exchange_failure::broken;
+  auto failure = core::exchange_failure::interrupted;
   bool failed = true;
   try {
     if (a.streamed) {
@@ -79,7 +79,7 @@
   } catch (const http::exchange_timeout_error&) {
     failure = core::exchange_failure::timed_out;
   } catch (const http::http_error&) {
-    failure = core::exchange_failure::broken;
+    failure = core::exchange_failure::interrupted;
   }
   if (failed) {
     report(number, core::exchange_failed{.exchange = number, .failure = failure});
@@ -92,10 +92,10 @@
 boost::asio::awaitable<void> endpoint_client::run_unary(core::start_exchange a)
 {
   const auto number = a.exchange;
-  auto whole = co_await client_.call(a.to, std::move(a.message), a.deadline);
-  auto body = std::move(whole.body);
-  whole.body.clear();
-  report(number, core::exchange_head{.exchange = number, .head = std::move(whole)});
+  auto response = co_await client_.call(a.to, std::move(a.message), a.deadline);
+  auto body = std::move(response.body);
+  response.body.clear();
+  report(number, core::exchange_head{.exchange = number, .head = std::move(response)});
   if (!body.empty()) {
     report(number, core::exchange_bytes{.exchange = number, .bytes = std::move(body)});
   }
@@ -142,10 +142,10 @@
   try {
     http::request message;
     message.target = std::move(target);
-    const auto whole = co_await client_.call(from, std::move(message), deadline);
+    const auto response = co_await client_.call(from, std::move(message), deadline);
     boost::json::error_code ec;
-    out = boost::json::parse(whole.body, ec);
-    co_return !ec && whole.status == 200;
+    out = boost::json::parse(response.body, ec);
+    co_return !ec && response.status == 200;
   } catch (const http::http_error&) {
     co_return false;
   }
--- a/src/daemon/platform_side.cc
+++ b/src/daemon/platform_side.cc
@@ -17,7 +17,7 @@
 namespace {
 
 constexpr std::chrono::milliseconds backoff_base{100};
-constexpr std::chrono::milliseconds backoff_limit{5'000};
+constexpr std::chrono::milliseconds max_backoff{5'000};
 constexpr unsigned max_backoff_doublings = 6;
 constexpr std::string_view declarations = "declarations";
 
@@ -223,10 +223,10 @@
   try {
     http::request message;
     message.target = std::move(target);
-    const auto whole = co_await client_.call(from, std::move(message), call_deadline());
+    const auto response = co_await client_.call(from, std::move(message), call_deadline());
     boost::json::error_code ec;
-    out = boost::json::parse(whole.body, ec);
-    co_return !ec && whole.status == 200;
+    out = boost::json::parse(response.body, ec);
+    co_return !ec && response.status == 200;
   } catch (const http::http_error&) {
     co_return false;
   }
@@ -275,7 +275,7 @@
 std::chrono::milliseconds platform_client::backoff(unsigned failures)
 {
   const auto doublings = std::min(failures, max_backoff_doublings);
-  const auto ceiling = std::min(backoff_base * (1 << doublings), backoff_limit);
+  const auto ceiling = std::min(backoff_base * (1 << doublings), max_backoff);
   return random_delay(ceiling);
 }
 
--- a/src/gateway/answer_verdict.cc
+++ b/src/gateway/answer_verdict.cc
@@ -24,11 +24,11 @@
   }
   const bool other_request = !head.request_id.empty() && head.request_id != request_id;
   if (other_request || implies_not_run(head.status)) {
-    return attempt_outcome::broken;
+    return attempt_outcome::no_valid_answer;
   }
   if (status::is_success(head.status)) {
     const bool is_signed = head.has_signature && head.request_id == request_id;
-    return is_signed ? attempt_outcome::answered : attempt_outcome::broken;
+    return is_signed ? attempt_outcome::answered : attempt_outcome::no_valid_answer;
   }
   return head.status >= status::first_server_error ? attempt_outcome::failed
                                                    : attempt_outcome::answered;
--- a/src/gateway/crash_codec.cc
+++ b/src/gateway/crash_codec.cc
@@ -17,7 +17,7 @@
 {
   json::object suspects;
   for (const auto& [content, stage] : crash.suspects) {
-    suspects[to_string(content)] = stage == answer_stage::begun;
+    suspects[to_string(content)] = stage == answer_stage::started;
   }
   return {{"endpoint", crash.process.id.value()},
           {"incarnation", crash.process.incarnation},
@@ -45,8 +45,8 @@
       .process = {.id = endpoint_id(json::value_to<std::string>(from.at("endpoint"))),
                   .incarnation = from.at("incarnation").to_number<std::uint64_t>()},
       .at = decode_time(from.at("at"))};
-  for (const auto& [content, begun] : from.at("suspects").as_object()) {
-    const auto stage = begun.as_bool() ? answer_stage::begun : answer_stage::not_begun;
+  for (const auto& [content, started] : from.at("suspects").as_object()) {
+    const auto stage = started.as_bool() ? answer_stage::started : answer_stage::not_started;
     out.suspects.emplace(decode_content(content), stage);
   }
   return out;
--- a/src/gateway/crash_suspects.cc
+++ b/src/gateway/crash_suspects.cc
@@ -13,7 +13,7 @@
 std::uint64_t hash_of(const endpoint_process& process, const content_id& content,
                       answer_stage stage)
 {
-  const auto* mark = stage == answer_stage::begun ? " begun" : "";
+  const auto* mark = stage == answer_stage::started ? " begun" : "";
   return hash64_of(process.id.value() + to_string(content) + mark, process.incarnation);
 }
 
--- a/src/gateway/endpoint_pool.cc
+++ b/src/gateway/endpoint_pool.cc
@@ -194,14 +194,14 @@
   }
 }
 
-std::vector<peer_terms> endpoint_pool::terms_to_gossip(std::size_t most, mono_time now)
+std::vector<peer_terms> endpoint_pool::terms_to_gossip(std::size_t max_count, mono_time now)
 {
   // Peers know from the store that the other endpoints are leaving or were removed.
   const auto is_in_use = [this](const endpoint_id& id) {
     const auto it = records_.find(id);
     return it != records_.end() && !departures_.had_departed(id, it->second.revision);
   };
-  return terms_.to_gossip(most, is_in_use, now);
+  return terms_.to_gossip(max_count, is_in_use, now);
 }
 
 std::vector<const endpoint_record*> endpoint_pool::serving(std::string_view service) const
--- a/src/gateway/endpoint_pool_choice.cc
+++ b/src/gateway/endpoint_pool_choice.cc
@@ -20,16 +20,16 @@
 }
 
 // Whether the call may be sent to this endpoint according to its software version.
-bool is_in(const version_selection& lane, const endpoint_record& r)
+bool is_in(const version_selection& versions, const endpoint_record& r)
 {
-  switch (lane.endpoints) {
+  switch (versions.endpoints) {
   case version_selection::subset::any:
     return true;
   case version_selection::subset::baseline:
-    return r.version != lane.target;
+    return r.version != versions.target;
   case version_selection::subset::trial:
   case version_selection::subset::target:
-    return r.version == lane.target;
+    return r.version == versions.target;
   }
   return true;
 }
@@ -53,7 +53,7 @@
 {
   candidates out;
   for (const auto* r : serving(criteria.service)) {
-    if (!is_in(criteria.lane, *r)) {
+    if (!is_in(criteria.versions, *r)) {
       continue;
     }
     const auto& excluded = criteria.excluded;
@@ -61,9 +61,9 @@
       continue;
     }
     // The terms that an endpoint states are binding, whatever else favours it.
-    const auto open_at = terms_.open_at(r->id, now);
-    if (open_at > now) {
-      out.opens_at = std::min(out.opens_at.value_or(open_at), open_at);
+    const auto allowed_at = terms_.next_allowed_at(r->id, now);
+    if (allowed_at > now) {
+      out.next_allowed_at = std::min(out.next_allowed_at.value_or(allowed_at), allowed_at);
       continue;
     }
     const auto slot = *table_.find(r->id);
@@ -76,7 +76,7 @@
     std::sort(out.open.begin(), out.open.end());
     out.ejected.clear();
   }
-  if (criteria.lane.endpoints == version_selection::subset::trial) {
+  if (criteria.versions.endpoints == version_selection::subset::trial) {
     limit_trial_endpoints(criteria, out.open);
   }
   return out;
@@ -86,14 +86,14 @@
                                           std::vector<routing::endpoint_slot>& open) const
 {
   const auto score = [&](routing::endpoint_slot slot) {
-    return rendezvous_score(criteria.lane.trial_seed, table_.at(slot).description.id.value());
+    return rendezvous_score(criteria.versions.trial_seed, table_.at(slot).description.id.value());
   };
   const auto all = serving(criteria.service);
   const auto present = std::count_if(all.begin(), all.end(), [&](const endpoint_record* r) {
-    return r->version != criteria.lane.target;
+    return r->version != criteria.versions.target;
   });
   const auto wanted = static_cast<std::size_t>(
-      std::ceil(criteria.lane.target_fraction * static_cast<double>(present)));
+      std::ceil(criteria.versions.target_fraction * static_cast<double>(present)));
   const auto number = std::min(open.size(), std::max<std::size_t>(1, wanted));
   std::sort(open.begin(), open.end(), [&](auto a, auto b) { return score(a) > score(b); });
   open.resize(number);
@@ -125,20 +125,20 @@
 }
 
 routing::no_endpoint endpoint_pool::reject_until(const selection_criteria& criteria,
-                                                 mono_time opens_at)
+                                                 mono_time next_allowed_at)
 {
   if (const auto& size = criteria.size) {
     // Refused calls count as demand too: a fleet that refuses calls is short of endpoints.
     meter_.on_sent(criteria.service, own_tokens(*size, split_prompt(criteria.prompt)));
   }
-  return {.reason = routing::no_endpoint_reason::none_accepting, .retry_at = opens_at};
+  return {.reason = routing::no_endpoint_reason::none_accepting, .retry_at = next_allowed_at};
 }
 
 pool_choice endpoint_pool::choose(const selection_criteria& criteria, mono_time now)
 {
   const auto candidates = candidates_for(criteria, now);
-  if (candidates.open.empty() && candidates.opens_at) {
-    return reject_until(criteria, *candidates.opens_at);
+  if (candidates.open.empty() && candidates.next_allowed_at) {
+    return reject_until(criteria, *candidates.next_allowed_at);
   }
   if (!criteria.size && criteria.prompt.empty()) {
     return choose_for_plain(criteria, candidates.open, now);
--- a/src/gateway/endpoint_statement.cc
+++ b/src/gateway/endpoint_statement.cc
@@ -8,11 +8,11 @@
 // No endpoint serves more requests per second; a higher rate is a mistake.
 constexpr double max_rate = 100'000;
 // A longer pause would put the endpoint out of use for the lifetime of an instance.
-constexpr std::chrono::duration<double> longest_pause = std::chrono::hours(1);
+constexpr std::chrono::duration<double> max_pause = std::chrono::hours(1);
 
 bool is_valid_pause(std::chrono::duration<double> pause)
 {
-  return pause.count() >= 0 && pause <= longest_pause;
+  return pause.count() >= 0 && pause <= max_pause;
 }
 
 } // namespace
--- a/src/gateway/endpoint_work.cc
+++ b/src/gateway/endpoint_work.cc
@@ -7,9 +7,9 @@
 
 namespace wisteriaflow::gateway {
 
-endpoint_work_map top_endpoints(endpoint_work_map work, std::size_t most)
+endpoint_work_map top_endpoints(endpoint_work_map work, std::size_t max_count)
 {
-  if (work.size() <= most) {
+  if (work.size() <= max_count) {
     return work;
   }
   const auto weight = [](const endpoint_work_map::value_type* it) {
@@ -21,10 +21,11 @@
   for (const auto& it : work) {
     ranked.push_back(&it);
   }
-  std::nth_element(ranked.begin(), ranked.begin() + static_cast<std::ptrdiff_t>(most), ranked.end(),
+  std::nth_element(ranked.begin(), ranked.begin() + static_cast<std::ptrdiff_t>(max_count),
+                   ranked.end(),
                    [&](const auto* a, const auto* b) { return weight(a) > weight(b); });
   endpoint_work_map out;
-  for (std::size_t i = 0; i < most; ++i) {
+  for (std::size_t i = 0; i < max_count; ++i) {
     out.insert(*ranked[i]);
   }
   return out;
--- a/src/gateway/peer_report.cc
+++ b/src/gateway/peer_report.cc
@@ -267,7 +267,7 @@
     out.crashes = decode_crash_report(*crashes);
     out.crash_digest = number_at(from, "crash_digest");
   }
-  // Peers of an earlier version send no roll-outs.
+  // Peers of an earlier version send no rollouts.
   if (const auto* rollouts = from.as_object().if_contains("rollouts")) {
     out.rollouts = decode_rollouts(*rollouts);
     out.rollouts_revision = number_at(from, "rollouts_known_up_to");
--- a/src/gateway/rate_shares.cc
+++ b/src/gateway/rate_shares.cc
@@ -68,7 +68,7 @@
   }
 }
 
-mono_time rate_shares::open_at(const endpoint_id& id, mono_time now) const
+mono_time rate_shares::next_allowed_at(const endpoint_id& id, mono_time now) const
 {
   const auto it = entries_.find(id);
   if (it == entries_.end()) {
--- a/src/gateway/return_time.cc
+++ b/src/gateway/return_time.cc
@@ -12,7 +12,7 @@
 // an endpoint is failing.
 constexpr milliseconds default_wait{250};
 // A wait shorter than the round trip to the caller doesn't spread the calls.
-constexpr milliseconds shortest_wait{50};
+constexpr milliseconds min_wait{50};
 // Each rank returns within this fraction of the wait, after the ranks before it. The first two
 // ranks together take as long as the wait, so that the queue has drained by the same amount again
 // when the third rank returns.
@@ -23,8 +23,8 @@
 
 mono_time retry_time(const refused_call& call, std::mt19937_64& rng)
 {
-  const auto until_open = call.open_at.value_or(call.now + default_wait) - call.now;
-  const auto wait = std::max<mono_time::duration>(until_open, shortest_wait);
+  const auto until_available = call.available_at.value_or(call.now + default_wait) - call.now;
+  const auto wait = std::max<mono_time::duration>(until_available, min_wait);
   const int rank = std::clamp(call.rank, 0, last_rank);
   const double within_rank = std::uniform_real_distribution<double>(0, 1)(rng);
   const std::chrono::duration<double> delay = wait * (rank_width * (rank + within_rank));
--- a/src/gateway/rollout_conductor.cc
+++ b/src/gateway/rollout_conductor.cc
@@ -91,7 +91,7 @@
     return out;
   }
   // A version without enough calls so far, or a suspicious one, gets all the time until the
-  // deadline: a late roll-out costs less than a bad version that serves all callers.
+  // deadline: a late rollout costs less than a bad version that serves all callers.
   const bool has_evidence = target_calls(rows.total(order.order)) >= options_.min_target_calls;
   if (!is_late && (!has_evidence || is_suspicious(order))) {
     return std::nullopt;
--- a/src/gateway/scaling_planner.cc
+++ b/src/gateway/scaling_planner.cc
@@ -101,7 +101,7 @@
   return is_unavailable && zones_serving == 1 ? 0 : serving_of_kind(in, true);
 }
 
-bool scaling_planner::is_sold_out(const endpoint_group& group, mono_time now) const
+bool scaling_planner::is_capacity_exhausted(const endpoint_group& group, mono_time now) const
 {
   const auto it = orders_.find(group);
   return it != orders_.end() && now < it->second.blocked_until;
@@ -155,7 +155,7 @@
         serving_of(in, {.service = in.service, .zone = zone, .reclaimable = true});
     const unsigned room = in.limits.max_endpoints - std::min(in.limits.max_endpoints, reclaimable);
     auto wanted = std::min({in_zone, left, room});
-    if (is_sold_out(group, now)) {
+    if (is_capacity_exhausted(group, now)) {
       wanted = std::min(wanted, serving_of(in, group)); // the next zone replaces it
     }
     left -= wanted;
@@ -200,11 +200,11 @@
 void scaling_planner::on_result(const endpoint_order& order, order_result result, mono_time now)
 {
   auto& sent = orders_[order.group];
-  if (result == order_result::sold_out) {
-    sent.repeat_at = now + options_.sold_out_backoff;
+  if (result == order_result::capacity_exhausted) {
+    sent.repeat_at = now + options_.capacity_exhausted_backoff;
     sent.blocked_until = sent.repeat_at;
     // Unless the next order is accepted before.
-    sent.unavailable_until = now + 2 * options_.sold_out_backoff;
+    sent.unavailable_until = now + 2 * options_.capacity_exhausted_backoff;
   } else if (result == order_result::unanswered) {
     sent.repeat_at = now;
   } else {
--- a/src/gateway/stated_terms.cc
+++ b/src/gateway/stated_terms.cc
@@ -139,11 +139,11 @@
   }
 }
 
-mono_time stated_terms::open_at(const endpoint_id& id, mono_time now) const
+mono_time stated_terms::next_allowed_at(const endpoint_id& id, mono_time now) const
 {
-  const auto open_at = shares_.open_at(id, now);
+  const auto allowed_at = shares_.next_allowed_at(id, now);
   const auto paused = paused_until_.find(id);
-  return paused == paused_until_.end() ? open_at : std::max(open_at, paused->second);
+  return paused == paused_until_.end() ? allowed_at : std::max(allowed_at, paused->second);
 }
 
 peer_terms stated_terms::to_peer_terms(const entry_map::value_type& it, mono_time now)
@@ -156,11 +156,11 @@
 }
 
 template <typename predicate>
-void stated_terms::append_round_robin(std::vector<peer_terms>& out, std::size_t most,
+void stated_terms::append_round_robin(std::vector<peer_terms>& out, std::size_t max_count,
                                       predicate is_selected, mono_time now)
 {
   auto it = entries_.lower_bound(next_gossiped_);
-  for (std::size_t i = 0; i < entries_.size() && out.size() < most; ++i) {
+  for (std::size_t i = 0; i < entries_.size() && out.size() < max_count; ++i) {
     if (it == entries_.end()) {
       it = entries_.begin();
     }
@@ -172,7 +172,7 @@
   next_gossiped_ = it == entries_.end() ? endpoint_id() : it->first;
 }
 
-std::vector<peer_terms> stated_terms::to_gossip(std::size_t most, const in_use& is_in_use,
+std::vector<peer_terms> stated_terms::to_gossip(std::size_t max_count, const in_use& is_in_use,
                                                 mono_time now)
 {
   const auto is_changed = [now](const endpoint_id&, const entry& e) {
@@ -182,8 +182,8 @@
     return !is_changed(id, e) && is_in_use(id);
   };
   std::vector<peer_terms> out;
-  append_round_robin(out, most, is_changed, now);
-  append_round_robin(out, most, is_other, now);
+  append_round_robin(out, max_count, is_changed, now);
+  append_round_robin(out, max_count, is_other, now);
   return out;
 }
 
--- a/src/gateway/version_judge.cc
+++ b/src/gateway/version_judge.cc
@@ -140,8 +140,9 @@
     target += by_endpoint.at(worst_first[i].second);
   }
   const double log_odds = log_odds_of(first_step, history, slow, kept);
-  // All endpoints count for suspicion: on a route with few calls the remaining ones may be too
-  // little evidence, and a suspicion only delays a good version that has faulty endpoints.
+  // A suspicion is based on all endpoints: on a route with few calls, those left after the
+  // exclusion may have too few calls for a test, and a wrong suspicion only delays a good version
+  // that has faulty endpoints.
   std::set<endpoint_id> all;
   for (const auto& [endpoint, n] : by_endpoint) {
     all.insert(endpoint);
--- a/src/gateway/workspace_quota.cc
+++ b/src/gateway/workspace_quota.cc
@@ -169,9 +169,9 @@
     return std::nullopt;
   }
   auto& bucket = found->second.shared;
-  const auto open_at = bucket.next_allowed_at(now);
-  if (open_at > now) {
-    const auto wait = std::chrono::duration_cast<std::chrono::milliseconds>(open_at - now);
+  const auto next_allowed_at = bucket.next_allowed_at(now);
+  if (next_allowed_at > now) {
+    const auto wait = std::chrono::duration_cast<std::chrono::milliseconds>(next_allowed_at - now);
     return quota_grant{.retry_after = wait + std::chrono::milliseconds{1}};
   }
   // Units ahead of need come only from what is available; a single request may run into debt.
@@ -200,10 +200,10 @@
 quota_decision workspace_quota::admit_locally(account& it, double units, mono_time now,
                                               std::optional<mono_time> retry_at) const
 {
-  const auto open_at = it.local.next_allowed_at(now);
-  if (open_at > now) {
+  const auto next_allowed_at = it.local.next_allowed_at(now);
+  if (next_allowed_at > now) {
     return {.outcome = quota_outcome::refused,
-            .retry_at = retry_at ? std::min(*retry_at, open_at) : open_at};
+            .retry_at = retry_at ? std::min(*retry_at, next_allowed_at) : next_allowed_at};
   }
   it.local.consume(units, now);
   return {};
--- a/src/relay/attempt.cc
+++ b/src/relay/attempt.cc
@@ -108,7 +108,7 @@
   state_.endpoints.on_finished(endpoint_.work, event_count_, now);
   result_.response_started = response_started_;
   if (call_.caller_gone || caller_write_failed_) {
-    result_.end = attempt_result::end_state::caller_lost;
+    result_.end = attempt_result::end_state::caller_disconnected;
     end_version_call({});
     return std::move(result_);
   }
@@ -133,7 +133,7 @@
   if (result_.end != end_state::not_sent && !is_complete) {
     result_.end = end_state::interrupted;
   }
-  if (result_.outcome == attempt_outcome::broken && is_complete) {
+  if (result_.outcome == attempt_outcome::no_valid_answer && is_complete) {
     result_.end = end_state::interrupted; // complete, but not a response that can be forwarded
   }
   record_version_outcome(now);
@@ -193,10 +193,10 @@
     break;
   case attempt_outcome::not_run:
     break; // the endpoint is full, not unhealthy
-  case attempt_outcome::broken:
+  case attempt_outcome::no_valid_answer:
     record_endpoint_failure(result_.end == attempt_result::end_state::not_sent
                                 ? gateway::endpoint_failure::unreachable
-                                : gateway::endpoint_failure::broken,
+                                : gateway::endpoint_failure::exchange_failed,
                             now);
     break;
   }
@@ -367,7 +367,7 @@
   }
   if (last_received_at_ + unhealthy_after_intervals * silence_interval() <= now) {
     // The attempt continues, since the call may be running, but other calls avoid the endpoint.
-    record_endpoint_failure(gateway::endpoint_failure::broken, now);
+    record_endpoint_failure(gateway::endpoint_failure::exchange_failed, now);
   }
   if (can_retry_elsewhere() &&
       last_received_at_ + cancel_after_intervals * silence_interval() <= now) {
--- a/src/relay/attempt.h
+++ b/src/relay/attempt.h
@@ -60,11 +60,11 @@
 // How one attempt ended.
 struct attempt_result {
   enum class end_state {
-    not_sent,        // no connection: nothing was sent
-    complete,        // a complete response that is not a stream
-    stream_complete, // a stream that ended with its last event
-    interrupted,     // incomplete; `silent` is set if this daemon cancelled it for lack of data
-    caller_lost,     // the caller disconnected or does not read
+    not_sent,            // no connection: nothing was sent
+    complete,            // a complete response that is not a stream
+    stream_complete,     // a stream that ended with its last event
+    interrupted,         // incomplete; `silent` is set if this daemon cancelled it for lack of data
+    caller_disconnected, // the caller disconnected or does not read
   };
 
   end_state end = end_state::interrupted;
@@ -77,7 +77,7 @@
   bool closed_by_endpoint = false; // the endpoint, not this daemon, ended the exchange
   bool response_started = false;   // an event, or the head of a non-stream response, was received
   std::string reason;              // why it failed; empty if it did not
-  gateway::attempt_outcome outcome = gateway::attempt_outcome::broken;
+  gateway::attempt_outcome outcome = gateway::attempt_outcome::no_valid_answer;
   bool head_received = false;
   gateway::endpoint_statement statement; // what the endpoint stated of itself in the head
   // The head, and the body of a response that is not a stream. Unset unless `head_received`.
--- a/src/relay/call_log.cc
+++ b/src/relay/call_log.cc
@@ -47,8 +47,8 @@
   count_answer(call, std::to_string(status));
 }
 
-void call_log::on_given_up(const admitted_call& call, const std::string& status,
-                           const routing::no_endpoint& why, mono_time now)
+void call_log::on_call_failed(const admitted_call& call, const std::string& status,
+                              const routing::no_endpoint& why, mono_time now)
 {
   count_answer(call, status);
   log_fields fields = {{"request", call.description.request_id},
@@ -104,7 +104,7 @@
   }
   add_statement(fields, result.statement);
   add_reason(fields, result);
-  if (result.end == attempt_result::end_state::caller_lost) {
+  if (result.end == attempt_result::end_state::caller_disconnected) {
     state_.log.write(daemon::log_level::info, "caller left", std::move(fields));
   } else if (answered) {
     state_.log.write(daemon::log_level::info, "attempt answered", std::move(fields));
--- a/src/relay/call_log.h
+++ b/src/relay/call_log.h
@@ -32,8 +32,8 @@
   void on_answer(const admitted_call& call, int status);
   // The call ends without an endpoint's complete answer. `status` is the HTTP status that is sent,
   // or "cut short" if a stream had begun. `why` tells what prevented a further attempt.
-  void on_given_up(const admitted_call& call, const std::string& status,
-                   const routing::no_endpoint& why, mono_time now);
+  void on_call_failed(const admitted_call& call, const std::string& status,
+                      const routing::no_endpoint& why, mono_time now);
 
  private:
   void count_answer(const admitted_call& call, const std::string& status);
--- a/src/relay/call_relay.cc
+++ b/src/relay/call_relay.cc
@@ -249,7 +249,7 @@
 asio::awaitable<bool> call_relay::handle_result(admitted_call& call, attempt_result& last,
                                                 http::response_writer& writer)
 {
-  if (last.end == attempt_result::end_state::caller_lost) {
+  if (last.end == attempt_result::end_state::caller_disconnected) {
     state_.counters.count("callers_gone");
     writer.abort();
     co_return false;
@@ -328,7 +328,7 @@
   }
   const auto now = std::chrono::steady_clock::now();
   const int status = gateway::final_status(call.history);
-  log_.on_given_up(call, call.stream_started ? "cut short" : std::to_string(status), why, now);
+  log_.on_call_failed(call, call.stream_started ? "cut short" : std::to_string(status), why, now);
   if (call.stream_started) {
     // Closes the connection without an end of the stream: the caller must see that the answer is
     // incomplete.
@@ -340,8 +340,8 @@
   }
   std::optional<mono_time> retry_at;
   if (status == http::status::service_unavailable) {
-    retry_at =
-        gateway::retry_time({.now = now, .open_at = why.retry_at, .rank = call.priority}, random_);
+    retry_at = gateway::retry_time(
+        {.now = now, .available_at = why.retry_at, .rank = call.priority}, random_);
   }
   auto out = adapter::make_error_response(status, to_string(why.reason), retry_at, now);
   co_await writer.send(std::move(out));
@@ -374,14 +374,15 @@
   }
   const auto key = gateway::split_prompt(call.description.prompt).shared_key;
   const bool is_retry = call.history.sent > 0 || call.connect_failures > 0;
-  criteria.lane = state_.version_calls.select(
+  criteria.versions = state_.version_calls.select(
       {.service = call.service, .route = call.route->name, .affinity_key = key.value_or(random_())},
       is_retry, state_.fleet_time());
   auto choice = state_.endpoints.choose(criteria, now);
   const bool has_other =
-      criteria.lane.endpoints == side::trial || criteria.lane.endpoints == side::target;
+      criteria.versions.endpoints == side::trial || criteria.versions.endpoints == side::target;
   if (has_other && std::holds_alternative<routing::no_endpoint>(choice)) {
-    criteria.lane.endpoints = side::baseline; // it keeps endpoints until the rollout has succeeded
+    criteria.versions.endpoints =
+        side::baseline; // it keeps endpoints until the rollout has succeeded
     choice = state_.endpoints.choose(criteria, now);
   }
   return choice;
--- a/src/relay/crash_store.cc
+++ b/src/relay/crash_store.cc
@@ -57,8 +57,9 @@
 
 bool crash_store::is_read_due(mono_time now) const
 {
-  const bool all_peers_heard = state_.peers.running_count(now) == state_.peers.live(now).size() + 1;
-  return !initial_read_done_ || (!all_peers_heard && next_read_at_ <= now);
+  const bool all_peers_reporting =
+      state_.peers.running_count(now) == state_.peers.live(now).size() + 1;
+  return !initial_read_done_ || (!all_peers_reporting && next_read_at_ <= now);
 }
 
 bool crash_store::has_pending_writes()
--- a/src/relay/crash_watch.cc
+++ b/src/relay/crash_watch.cc
@@ -18,7 +18,7 @@
   }
   // An endpoint that is known to leave ends on its own and drops its unfinished calls. When a zone
   // is reclaimed, the calls that ran there are not to blame.
-  const bool may_have_ended = result.outcome == attempt_outcome::broken &&
+  const bool may_have_ended = result.outcome == attempt_outcome::no_valid_answer &&
                               result.closed_by_endpoint &&
                               state_.endpoints.is_active(result.endpoint);
   if (!may_have_ended) {
@@ -48,7 +48,7 @@
 void crash_detector::record_crash(const admitted_call& call, const attempt_result& result)
 {
   const auto stage =
-      result.response_started ? gateway::answer_stage::begun : gateway::answer_stage::not_begun;
+      result.response_started ? gateway::answer_stage::started : gateway::answer_stage::not_started;
   state_.crashes.on_crash({.process = result.endpoint,
                            .content = call.content,
                            .stage = stage,
--- a/src/relay/duties.cc
+++ b/src/relay/duties.cc
@@ -201,7 +201,7 @@
   gateway::scaling_input out{.service = s.name, .limits = *s.scaling};
   const auto* order = state_.rollouts.find(s.name);
   for (const auto* e : state_.endpoints.serving(s.name)) {
-    // During a roll-out both versions run; only one of them carries the traffic.
+    // During a rollout both versions run; only one of them carries the traffic.
     if (order != nullptr && !gateway::carries_traffic(*order, e->version)) {
       continue;
     }
--- a/src/relay/fleet_state.h
+++ b/src/relay/fleet_state.h
@@ -73,7 +73,7 @@
   [[nodiscard]] std::optional<mono_time> draining_since() const { return draining_since_; }
 
   // Whether callers may use this daemon: it knows the configuration, the endpoints and the
-  // roll-outs, and is not draining.
+  // rollouts, and is not draining.
   [[nodiscard]] bool is_ready() const;
 
   // This daemon's entry for the peers' tables.
@@ -124,13 +124,13 @@
   [[nodiscard]] gateway::endpoint_changes endpoint_changes(std::uint64_t revision,
                                                            mono_time now) const;
 
-  // Applies the state of a roll-out, read from the store or decided by this daemon.
+  // Applies the state of a rollout, read from the store or decided by this daemon.
   void apply_rollout(const gateway::rollout& rollout);
-  // Call when the operator has deleted a service's roll-out order as of the store's `revision`.
+  // Call when the operator has deleted a service's rollout order as of the store's `revision`.
   void withdraw_rollout(std::string_view service, std::uint64_t revision);
-  // Call when all roll-out orders up to `revision` of the store have been applied.
+  // Call when all rollout orders up to `revision` of the store have been applied.
   void on_rollouts_read(std::uint64_t revision);
-  // Whether the settings enable roll-outs.
+  // Whether the settings enable rollouts.
   [[nodiscard]] bool rollouts_enabled() const { return options.trial_part > 0; }
 
   // How much a report contains about the rest of the fleet, beside this daemon's own state.
--- a/src/relay/gateway_daemon.cc
+++ b/src/relay/gateway_daemon.cc
@@ -163,8 +163,8 @@
   asio::awaitable<void> answer_addresses(http::request request, http::response_writer& writer)
   {
     http::response out{.status = http::status::not_found};
-    if (const auto question = adapter::decode_address_query(request)) {
-      const auto addresses = addresses_for(question->zone);
+    if (const auto query = adapter::decode_address_query(request)) {
+      const auto addresses = addresses_for(query->zone);
       out = addresses.empty() ? http::response{.status = http::status::service_unavailable}
                               : adapter::encode_addresses(addresses, address_validity);
     }
--- a/src/relay/lease_keeper.h
+++ b/src/relay/lease_keeper.h
@@ -1,4 +1,4 @@
-// Connects the lease state machine, capacity::lease_holder, with the store: performs its reads and
+// Connects the lease state machine, capacity::lease_client, with the store: performs its reads and
 // writes, and publishes whether this daemon is the leader.
 //
 //   lease_keeper lease(context, state, store);
@@ -25,7 +25,7 @@
 // and the one that does not.
 [[nodiscard]] uptime_reading read_uptime();
 
-// Holds, renews and releases the fleet's lease. Not thread-safe.
+// Acquires, renews and releases the fleet lease. Not thread-safe.
 class lease_keeper {
  public:
   lease_keeper(boost::asio::io_context& context, fleet_state& state, store_client& store,
--- a/src/relay/peer_sync.cc
+++ b/src/relay/peer_sync.cc
@@ -310,24 +310,23 @@
 {
   auto decided = state_.quota.admit(workspace, units, std::chrono::steady_clock::now());
   if (decided.outcome == gateway::quota_outcome::ask_owner) {
-    gateway::quota_request question{
+    gateway::quota_request request{
         .workspace = workspace, .min_units = units, .wanted_units = decided.units_to_request};
-    const auto grant = co_await ask_owner(decided.owner, std::move(question));
+    const auto grant = co_await ask_owner(decided.owner, std::move(request));
     decided = state_.quota.on_grant(workspace, units, grant, std::chrono::steady_clock::now());
   }
   co_return decided;
 }
 
 asio::awaitable<std::optional<gateway::quota_grant>>
-peer_sync::ask_owner(daemon_id owner, gateway::quota_request question)
+peer_sync::ask_owner(daemon_id owner, gateway::quota_request request)
 {
   const auto address = state_.peers.address_of(owner);
   if (!address) {
     co_return std::nullopt;
   }
-  http::request message{.method = "POST",
-                        .target = std::string(quota_target),
-                        .body = encode_quota_request(question)};
+  http::request message{
+      .method = "POST", .target = std::string(quota_target), .body = encode_quota_request(request)};
   std::string reason;
   try {
     const auto deadline = std::chrono::steady_clock::now() + quota_timeout;
@@ -342,7 +341,7 @@
   state_.counters.count("quota_questions_failed");
   state_.log.write(
       daemon::log_level::warn, "quota owner did not answer",
-      {{"owner", owner.value()}, {"workspace", question.workspace.value()}, {"reason", reason}});
+      {{"owner", owner.value()}, {"workspace", request.workspace.value()}, {"reason", reason}});
   co_return std::nullopt;
 }
 
--- a/src/relay/peer_sync.h
+++ b/src/relay/peer_sync.h
@@ -49,7 +49,7 @@
   gateway::peer_report unpack_report(const std::string& body,
                                      const http::headers& fields); // throws peer_report_error
   boost::asio::awaitable<std::optional<gateway::quota_grant>>
-  ask_owner(daemon_id owner, gateway::quota_request question);
+  ask_owner(daemon_id owner, gateway::quota_request request);
   http::response answer_report(const http::request& request);
   http::response answer_quota(const http::request& request);
   // A resource that a peer has in a newer state than this daemon.
--- a/src/relay/rollout_sync.cc
+++ b/src/relay/rollout_sync.cc
@@ -260,7 +260,7 @@
     apply_phase_change(*next, order);
     order = *next;
   }
-  const auto fleet = fleet_standing(std::chrono::steady_clock::now());
+  const auto fleet = fleet_status_at(std::chrono::steady_clock::now());
   if (conductor_.is_complete(order, state_.rollout_rows, fleet, now)) {
     auto done = order;
     done.phase = gateway::rollout_phase::succeeded;
@@ -299,7 +299,7 @@
   co_return reply.result == adapter::store_result::done;
 }
 
-gateway::fleet_status rollout_sync::fleet_standing(mono_time now) const
+gateway::fleet_status rollout_sync::fleet_status_at(mono_time now) const
 {
   gateway::fleet_status out{.live = {state_.options.id}};
   for (const auto& peer : state_.peers.live(now)) {
--- a/src/relay/rollout_sync.h
+++ b/src/relay/rollout_sync.h
@@ -1,4 +1,4 @@
-// Connects roll-outs in the store with the daemons' decisions: reads the operators' orders, stops
+// Connects rollouts in the store with the daemons' decisions: reads the operators' orders, stops
 // bad versions, moves traffic to new ones, and writes the status of each order.
 //
 // The coordinators read the orders and pass them on to the other daemons in their reports. Every
@@ -30,7 +30,7 @@
   {
   }
 
-  // Starts to follow orders if the settings enable roll-outs. Never ends.
+  // Starts to follow orders if the settings enable rollouts. Never ends.
   void start();
 
  private:
@@ -61,7 +61,7 @@
   // now.
   boost::asio::awaitable<bool> write_status(gateway::rollout order);
   void apply_phase_change(const gateway::rollout& next, const gateway::rollout& before);
-  [[nodiscard]] gateway::fleet_status fleet_standing(mono_time now) const;
+  [[nodiscard]] gateway::fleet_status fleet_status_at(mono_time now) const;
   [[nodiscard]] gateway::version_endpoint_counts endpoints_of(const gateway::rollout& order) const;
 
   boost::asio::io_context& context_;
--- a/src/requests/life_context.h
+++ b/src/requests/life_context.h
@@ -1,4 +1,4 @@
-// State of one request besides its stage, and the operations of its state machine on it.
+// The state of one request other than its stage, and the operations of its state machine on it.
 //
 // The state machine (life_machine.h) defines in which stage an operation may happen. The context
 // keeps the attempts, the tokens and what the caller has received, and emits the actions.
--- a/test/adapter/duty_calls_test.cc
+++ b/test/adapter/duty_calls_test.cc
@@ -33,7 +33,7 @@
 TEST(LeaderCallsTest, ReadTheAnswerToAnOrder)
 {
   EXPECT_EQ(decode_order_answer(200), gateway::order_result::accepted);
-  EXPECT_EQ(decode_order_answer(409), gateway::order_result::sold_out);
+  EXPECT_EQ(decode_order_answer(409), gateway::order_result::capacity_exhausted);
   EXPECT_EQ(decode_order_answer(503), gateway::order_result::unanswered);
 }
 
--- a/test/capacity/mix_test.cc
+++ b/test/capacity/mix_test.cc
@@ -15,9 +15,9 @@
   return {.key = key_of(zone, reclaimable), .price_per_hour = price, .weight = weight};
 }
 
-// The lowest price over all mixes with at most `most` instances of each column, by exhaustive
+// The lowest price over all mixes with at most `max_count` instances of each column, by exhaustive
 // search.
-std::optional<double> optimal_price(const mix_problem& problem, std::int64_t most)
+std::optional<double> optimal_price(const mix_problem& problem, std::int64_t max_count)
 {
   std::vector<std::int64_t> counts(problem.columns.size(), 0);
   std::optional<double> best;
@@ -33,7 +33,7 @@
       best = price;
     }
     std::size_t i = 0;
-    while (i < counts.size() && counts[i] == most) {
+    while (i < counts.size() && counts[i] == max_count) {
       counts[i++] = 0;
     }
     if (i == counts.size()) {
--- a/test/claims/claims_property_test.cc
+++ b/test/claims/claims_property_test.cc
@@ -47,36 +47,36 @@
                                  rc::gen::pair(step, rc::gen::inRange<std::size_t>(0, 40))));
 }
 
-int max_runs(const claims_simulation& world)
+int max_runs(const claims_simulation& simulation)
 {
-  int most = 0;
-  for (const auto& [key, runs] : world.runs) {
-    most = std::max(most, runs);
+  int out = 0;
+  for (const auto& [key, runs] : simulation.runs) {
+    out = std::max(out, runs);
   }
-  return most;
+  return out;
 }
 
 RC_GTEST_PROP(ClaimsPropertyTest, RunsAKeyAtMostOnceAndNeverAfterReportingNotRun, ())
 {
-  claims_simulation world;
+  claims_simulation simulation;
   for (const auto& [step, n] : *any_steps()) {
-    world.run_step(step, n);
+    simulation.run_step(step, n);
   }
-  world.end_faults();
-  RC_ASSERT(max_runs(world) <= 1);
-  RC_ASSERT(world.not_run_violations == 0);
+  simulation.end_faults();
+  RC_ASSERT(max_runs(simulation) <= 1);
+  RC_ASSERT(simulation.not_run_violations == 0);
 }
 
 RC_GTEST_PROP(ClaimsPropertyTest, RunsANewKeyOnceAllFaultsHaveEnded, ())
 {
-  claims_simulation world;
+  claims_simulation simulation;
   for (const auto& [step, n] : *any_steps()) {
-    world.run_step(step, n);
+    simulation.run_step(step, n);
   }
-  world.end_faults();
-  const auto key = world.submit_new_key(1);
-  world.end_faults();
-  RC_ASSERT(world.runs[key] == 1);
+  simulation.end_faults();
+  const auto key = simulation.submit_new_key(1);
+  simulation.end_faults();
+  RC_ASSERT(simulation.runs[key] == 1);
 }
 
 // Runs random steps from `seed` and returns the highest number of runs of one key.
@@ -85,15 +85,15 @@
   std::mt19937_64 random(seed);
   std::uniform_int_distribution<int> rolls(0, total_weight() - 1);
   std::uniform_int_distribution<std::size_t> numbers(0, 39);
-  claims_simulation world;
-  world.store.unconditional_writes = unconditional_writes;
+  claims_simulation simulation;
+  simulation.store.unconditional_writes = unconditional_writes;
   const int steps = 600;
   for (int i = 0; i < steps; ++i) {
     const auto step = step_for(rolls(random));
-    world.run_step(step, numbers(random));
+    simulation.run_step(step, numbers(random));
   }
-  world.end_faults();
-  return max_runs(world);
+  simulation.end_faults();
+  return max_runs(simulation);
 }
 
 constexpr std::uint64_t control_simulations = 300;
@@ -111,9 +111,9 @@
 {
   int ran = 0;
   for (std::uint64_t seed = 1; seed <= control_simulations; ++seed) {
-    const int most = max_runs_after(seed, false);
-    ran += most;
-    EXPECT_LE(most, 1) << "with seed " << seed;
+    const int runs = max_runs_after(seed, false);
+    ran += runs;
+    EXPECT_LE(runs, 1) << "with seed " << seed;
   }
   EXPECT_GT(ran, 0) << "no key ran at all";
 }
--- a/test/core/capacity_service_test.cc
+++ b/test/core/capacity_service_test.cc
@@ -17,52 +17,52 @@
  protected:
   [[nodiscard]] bool lease_names(const std::string& token) const
   {
-    const auto text = boost::json::serialize(world_.leases.at("capacity").document);
+    const auto text = boost::json::serialize(harness_.leases.at("capacity").document);
     return text.find("\"" + token + "\"") != std::string::npos;
   }
 
-  capacity_harness world_{true};
+  capacity_harness harness_{true};
 };
 
 TEST_F(CapacityServiceTest, LaunchesWhatThePoolNeeds)
 {
-  world_.advance(until_planned);
-  EXPECT_EQ(world_.launches().size(), 2U);
+  harness_.advance(until_planned);
+  EXPECT_EQ(harness_.launches().size(), 2U);
 }
 
 TEST_F(CapacityServiceTest, StoresTheTokenBeforeItLaunches)
 {
-  world_.advance(until_planned);
-  const auto token = std::string(world_.launches().at(0).at("token").as_string());
+  harness_.advance(until_planned);
+  const auto token = std::string(harness_.launches().at(0).at("token").as_string());
   EXPECT_TRUE(lease_names(token)) << token;
 }
 
 TEST_F(CapacityServiceTest, LaunchesNothingThatCouldNotBeStored)
 {
-  world_.advance(100ms); // acquires the lease
-  world_.store_answers = false;
-  world_.advance(until_planned);
-  EXPECT_EQ(world_.launches().size(), 0U);
+  harness_.advance(100ms); // acquires the lease
+  harness_.store_answers = false;
+  harness_.advance(until_planned);
+  EXPECT_EQ(harness_.launches().size(), 0U);
 }
 
 TEST_F(CapacityServiceTest, IssuesNoOrderAfterTheLeaseHasExpired)
 {
-  world_.advance(until_planned);
-  world_.store_answers = false;
-  world_.advance(11s);
-  const auto before = world_.cloud_calls.size();
-  world_.advance(20s);
-  EXPECT_EQ(world_.cloud_calls.size(), before);
+  harness_.advance(until_planned);
+  harness_.store_answers = false;
+  harness_.advance(11s);
+  const auto before = harness_.cloud_calls.size();
+  harness_.advance(20s);
+  EXPECT_EQ(harness_.cloud_calls.size(), before);
 }
 
 TEST_F(CapacityServiceTest, RetriesALaunchWithTheSameTokenAfterALostAnswer)
 {
-  world_.cloud_answers_launches = false;
-  world_.advance(until_planned);
-  const auto first = world_.launches().at(0).at("token");
-  world_.cloud_answers_launches = true;
-  world_.advance(6s);
-  const auto launches = world_.launches();
+  harness_.cloud_answers_launches = false;
+  harness_.advance(until_planned);
+  const auto first = harness_.launches().at(0).at("token");
+  harness_.cloud_answers_launches = true;
+  harness_.advance(6s);
+  const auto launches = harness_.launches();
   const auto asked = std::count_if(launches.begin(), launches.end(),
                                    [&](const auto& s) { return s.at("token") == first; });
   EXPECT_EQ(asked, 2);
@@ -70,25 +70,25 @@
 
 TEST_F(CapacityServiceTest, LabelsAnInstanceToMatchItsPoolsSelector)
 {
-  world_.advance(until_planned);
-  const auto labels = world_.launches().at(0).at("labels");
+  harness_.advance(until_planned);
+  const auto labels = harness_.launches().at(0).at("labels");
   EXPECT_EQ(labels.at("tier"), "gold") << boost::json::serialize(labels);
 }
 
 TEST_F(CapacityServiceTest, OrdersAModelLoadWithTheFencingNumber)
 {
-  world_.advance(until_planned);
-  world_.list({capacity_harness::instance(world_.launches().at(0), "i1")});
-  world_.advance(1s);
-  ASSERT_EQ(world_.orders.size(), 1U);
-  EXPECT_EQ(boost::json::serialize(world_.orders.at(0)),
+  harness_.advance(until_planned);
+  harness_.list({capacity_harness::instance(harness_.launches().at(0), "i1")});
+  harness_.advance(1s);
+  ASSERT_EQ(harness_.orders.size(), 1U);
+  EXPECT_EQ(boost::json::serialize(harness_.orders.at(0)),
             R"({"order":"load","model":"m","adapter":"","fencing_number":1})");
 }
 
 TEST_F(CapacityServiceTest, AuditsALaunchWithItsCause)
 {
-  world_.advance(until_planned);
-  const auto& records = world_.audit_records;
+  harness_.advance(until_planned);
+  const auto& records = harness_.audit_records;
   const auto it = std::find_if(records.begin(), records.end(), [](const auto& r) {
     return r.at("spec").at("object").at("kind") == "Launch";
   });
@@ -99,20 +99,20 @@
 
 TEST_F(CapacityServiceTest, ReportsTheStateOfAnInstanceToOperators)
 {
-  world_.advance(until_planned);
-  world_.list({capacity_harness::instance(world_.launches().at(0), "i1")});
-  world_.advance(2s);
-  const auto view = world_.view();
+  harness_.advance(until_planned);
+  harness_.list({capacity_harness::instance(harness_.launches().at(0), "i1")});
+  harness_.advance(2s);
+  const auto view = harness_.view();
   EXPECT_TRUE(view.at("held_here").as_bool());
   EXPECT_EQ(view.at("instances").at(0).at("state"), "serving") << boost::json::serialize(view);
 }
 
 TEST(CapacityServiceDisabledTest, UsesNeitherTheLeaseNorTheCloud)
 {
-  capacity_harness world(false);
-  world.advance(until_planned);
-  EXPECT_TRUE(world.leases.empty());
-  EXPECT_TRUE(world.cloud_calls.empty());
+  capacity_harness harness(false);
+  harness.advance(until_planned);
+  EXPECT_TRUE(harness.leases.empty());
+  EXPECT_TRUE(harness.cloud_calls.empty());
 }
 
 } // namespace
--- a/test/core/core_fleet_outside.cc
+++ b/test/core/core_fleet_outside.cc
@@ -44,7 +44,7 @@
   return buf.data();
 }
 
-std::string whole_text(const core_fleet::caller_request& w)
+std::string full_text(const core_fleet::caller_request& w)
 {
   std::string out;
   for (std::uint64_t i = 0; i < w.tokens; ++i) {
@@ -183,7 +183,7 @@
         w.generation
             ? std::string(boost::json::parse(whole.body).at_pointer("/choices/0/text").as_string())
             : whole.body;
-    if (text != (w.generation ? whole_text(w) : service_answer(w.prompt))) {
+    if (text != (w.generation ? full_text(w) : service_answer(w.prompt))) {
       add_violation("a wrong answer to " + w.prompt + ": " + whole.body);
     }
     record_result(c.request, request_result::answered, {});
@@ -415,7 +415,7 @@
 {
   auto& to = endpoints_.at(e.endpoint);
   if (!to.alive) {
-    deliver(e.daemon, e.incarnation, exchange_failed{e.number, exchange_failure::broken});
+    deliver(e.daemon, e.incarnation, exchange_failed{e.number, exchange_failure::interrupted});
     return;
   }
   if (!to.runs.contains(id)) {
@@ -451,7 +451,7 @@
     if (endpoints_.at(e.endpoint).alive) {
       answer(e, status_ok, service_answer(body));
     } else {
-      deliver(e.daemon, e.incarnation, exchange_failed{e.number, exchange_failure::broken});
+      deliver(e.daemon, e.incarnation, exchange_failed{e.number, exchange_failure::interrupted});
     }
   });
 }
--- a/test/core/daemon_core_property_test.cc
+++ b/test/core/daemon_core_property_test.cc
@@ -40,11 +40,11 @@
 rc::Gen<script> script_of(std::uint32_t kinds)
 {
   constexpr std::uint32_t targets = 1'000;
-  constexpr std::uint32_t longest_wait = 1'500;
+  constexpr std::uint32_t max_wait = 1'500;
   return rc::gen::container<script>(rc::gen::build<step>(
       rc::gen::set(&step::action, rc::gen::inRange<std::uint32_t>(0, kinds)),
       rc::gen::set(&step::target, rc::gen::inRange<std::uint32_t>(0, targets)),
-      rc::gen::set(&step::wait, rc::gen::inRange<std::uint32_t>(0, longest_wait))));
+      rc::gen::set(&step::wait, rc::gen::inRange<std::uint32_t>(0, max_wait))));
 }
 
 // Actions of callers, announced drains and reclaims, and concurrent configuration changes. They
--- a/test/gateway/answer_verdict_test.cc
+++ b/test/gateway/answer_verdict_test.cc
@@ -20,12 +20,12 @@
 {
   auto head = success();
   head.has_signature = false;
-  EXPECT_EQ(classify_answer(head, "r1"), attempt_outcome::broken);
+  EXPECT_EQ(classify_answer(head, "r1"), attempt_outcome::no_valid_answer);
 }
 
 TEST(AnswerVerdictTest, RejectsAnAnswerToAnotherRequest)
 {
-  EXPECT_EQ(classify_answer(success(), "r2"), attempt_outcome::broken);
+  EXPECT_EQ(classify_answer(success(), "r2"), attempt_outcome::no_valid_answer);
 }
 
 TEST(AnswerVerdictTest, AcceptsTheStatementThatTheRequestWasNotRun)
@@ -37,7 +37,7 @@
 {
   for (const int status : {408, 421, 429, 503}) {
     EXPECT_EQ(classify_answer({.status = status, .has_signature = true, .request_id = "r1"}, "r1"),
-              attempt_outcome::broken);
+              attempt_outcome::no_valid_answer);
   }
 }
 
@@ -51,15 +51,15 @@
 {
   const route r{.kind = call_kind::non_idempotent, .max_attempts = 3};
   EXPECT_TRUE(may_retry(r, record_attempt({}, attempt_outcome::not_run)));
-  EXPECT_FALSE(may_retry(r, record_attempt({}, attempt_outcome::broken)));
+  EXPECT_FALSE(may_retry(r, record_attempt({}, attempt_outcome::no_valid_answer)));
 }
 
 TEST(AnswerVerdictTest, RetriesAStreamOnlyIfItIsResumable)
 {
   route r{.kind = call_kind::stream, .max_attempts = 3};
-  EXPECT_FALSE(may_retry(r, record_attempt({}, attempt_outcome::broken)));
+  EXPECT_FALSE(may_retry(r, record_attempt({}, attempt_outcome::no_valid_answer)));
   r.resumable = true;
-  EXPECT_TRUE(may_retry(r, record_attempt({}, attempt_outcome::broken)));
+  EXPECT_TRUE(may_retry(r, record_attempt({}, attempt_outcome::no_valid_answer)));
 }
 
 TEST(AnswerVerdictTest, DoesNotExceedMaxAttempts)
@@ -70,7 +70,7 @@
 
 TEST(AnswerVerdictTest, ReportsATimeOutForACallThatMayHaveRun)
 {
-  auto history = record_attempt({}, attempt_outcome::broken);
+  auto history = record_attempt({}, attempt_outcome::no_valid_answer);
   history.timed_out = true;
   EXPECT_EQ(final_status(history), 504);
 }
@@ -79,7 +79,7 @@
 {
   const auto outcomes = *rc::gen::container<std::vector<attempt_outcome>>(
       rc::gen::element(attempt_outcome::answered, attempt_outcome::not_run, attempt_outcome::failed,
-                       attempt_outcome::broken));
+                       attempt_outcome::no_valid_answer));
   attempt_history history;
   bool all_not_run = true;
   for (const auto o : outcomes) {
--- a/test/gateway/caller_addresses_test.cc
+++ b/test/gateway/caller_addresses_test.cc
@@ -36,8 +36,8 @@
 std::size_t count_in_zone(const std::vector<http::socket_address>& addresses, unsigned zone)
 {
   const auto prefix = "10." + std::to_string(zone) + ".";
-  const auto is_there = [&prefix](const auto& a) { return a.host.starts_with(prefix); };
-  return static_cast<std::size_t>(std::count_if(addresses.begin(), addresses.end(), is_there));
+  const auto is_in_zone = [&prefix](const auto& a) { return a.host.starts_with(prefix); };
+  return static_cast<std::size_t>(std::count_if(addresses.begin(), addresses.end(), is_in_zone));
 }
 
 TEST(CallerAddressesTest, ListsAllOfASmallFleet)
--- a/test/gateway/crash_suspects_test.cc
+++ b/test/gateway/crash_suspects_test.cc
@@ -25,7 +25,7 @@
 }
 
 crash_observation observation(int endpoint, const content_id& c, wall_time at = start,
-                              answer_stage stage = answer_stage::not_begun)
+                              answer_stage stage = answer_stage::not_started)
 {
   return {.process = process(endpoint), .content = c, .stage = stage, .at = at};
 }
@@ -91,7 +91,7 @@
   crash_suspects suspects({});
   for (int i = 1; i <= 3; ++i) {
     suspects.on_crash(observation(i, crashing));
-    suspects.on_crash(observation(i, innocent, start, answer_stage::begun));
+    suspects.on_crash(observation(i, innocent, start, answer_stage::started));
   }
   EXPECT_TRUE(suspects.hold_of(crashing));
   EXPECT_EQ(suspects.hold_of(innocent), std::nullopt);
@@ -101,7 +101,7 @@
 {
   crash_suspects suspects({});
   for (int i = 1; i <= 3; ++i) {
-    suspects.on_crash(observation(i, crashing, start, answer_stage::begun));
+    suspects.on_crash(observation(i, crashing, start, answer_stage::started));
     suspects.on_crash(observation(i, content(100 + static_cast<std::uint64_t>(i))));
   }
   EXPECT_TRUE(suspects.hold_of(crashing));
@@ -230,7 +230,7 @@
   crash_suspects suspects({.max_crashes = 3, .max_suspects_per_crash = 3});
   for (int i = 0; i < 40; ++i) {
     const auto c = content(static_cast<std::uint64_t>(i % 7));
-    const auto stage = i % 3 == 0 ? answer_stage::begun : answer_stage::not_begun;
+    const auto stage = i % 3 == 0 ? answer_stage::started : answer_stage::not_started;
     suspects.on_crash(observation(i % 5, c, start + i * 1ms, stage));
     if (i % 4 == 0) {
       suspects.on_answered(c, start + i * 1ms);
@@ -245,8 +245,8 @@
 TEST(CrashSuspectsTest, KeepTheLikeliestOfTooManySuspects)
 {
   crash_suspects suspects({.max_suspects_per_crash = 2});
-  suspects.on_crash(observation(1, content(10), start, answer_stage::begun));
-  suspects.on_crash(observation(1, content(11), start, answer_stage::begun));
+  suspects.on_crash(observation(1, content(10), start, answer_stage::started));
+  suspects.on_crash(observation(1, content(11), start, answer_stage::started));
   suspects.on_crash(observation(1, crashing));
   const auto all = suspects.all();
   ASSERT_EQ(all.crashes.size(), 1U);
--- a/test/gateway/crashing_requests_replay_test.cc
+++ b/test/gateway/crashing_requests_replay_test.cc
@@ -167,9 +167,9 @@
 
   bool is_running(std::uint64_t content) const
   {
-    const auto is_it = [content](const request& r) { return r.content == content; };
+    const auto has_content = [content](const request& r) { return r.content == content; };
     return std::any_of(endpoints_.begin(), endpoints_.end(), [&](const endpoint& e) {
-      return std::any_of(e.running.begin(), e.running.end(), is_it);
+      return std::any_of(e.running.begin(), e.running.end(), has_content);
     });
   }
 
@@ -205,8 +205,10 @@
         e.restarts_at.reset();
         ++e.incarnation;
       }
-      const auto crashes_it = [&](const request& r) { return r.is_crashing && r.ends_at <= now; };
-      if (std::any_of(e.running.begin(), e.running.end(), crashes_it)) {
+      const auto crashes_endpoint = [&](const request& r) {
+        return r.is_crashing && r.ends_at <= now;
+      };
+      if (std::any_of(e.running.begin(), e.running.end(), crashes_endpoint)) {
         crash(e, i, now);
       }
     }
@@ -222,7 +224,7 @@
       daemons_[r.daemon].on_crash(
           {.process = process,
            .content = content_of(r.content),
-           .stage = r.first_event_at <= now ? answer_stage::begun : answer_stage::not_begun,
+           .stage = r.first_event_at <= now ? answer_stage::started : answer_stage::not_started,
            .at = now});
     }
     std::map<std::uint64_t, bool> seen;
--- a/test/gateway/endpoint_pool_test.cc
+++ b/test/gateway/endpoint_pool_test.cc
@@ -142,7 +142,7 @@
 {
   list({record("a", 1), record("b", 1)}, 5);
   pool_.on_failure(endpoint_id("a"), endpoint_failure::unreachable, start);
-  pool_.on_failure(endpoint_id("b"), endpoint_failure::broken, start);
+  pool_.on_failure(endpoint_id("b"), endpoint_failure::exchange_failed, start);
   const endpoint_work_map expected = {{endpoint_id("a"), {.unreachable = 1}}};
   EXPECT_EQ(pool_.work_to_gossip(start + 100ms), expected);
   EXPECT_TRUE(pool_.work_to_gossip(start + 500ms).empty());
@@ -194,7 +194,7 @@
 TEST_F(EndpointPoolTest, FailuresOfThePreviousProcessDoNotEjectARestartedEndpoint)
 {
   list({record_of("a", 1, 100), record_of("b", 1, 100)}, 5);
-  pool_.on_failure(endpoint_id("a"), endpoint_failure::broken, start);
+  pool_.on_failure(endpoint_id("a"), endpoint_failure::exchange_failed, start);
   pool_.apply(record_of("a", 6, 200), start);
   EXPECT_EQ(choose({endpoint_id("b")})->id, endpoint_id("a"));
 }
@@ -285,7 +285,7 @@
 TEST_F(EndpointPoolTest, AvoidsAnEjectedEndpoint)
 {
   list({record("a", 1), record("b", 1)}, 5);
-  pool_.on_failure(endpoint_id("a"), endpoint_failure::broken, start);
+  pool_.on_failure(endpoint_id("a"), endpoint_failure::exchange_failed, start);
   for (int i = 0; i < 10; ++i) {
     EXPECT_EQ(choose()->id, endpoint_id("b"));
   }
@@ -294,7 +294,7 @@
 TEST_F(EndpointPoolTest, ASuccessDoesNotEndAnEjection)
 {
   list({record("a", 1), record("b", 1)}, 5);
-  pool_.on_failure(endpoint_id("a"), endpoint_failure::broken, start);
+  pool_.on_failure(endpoint_id("a"), endpoint_failure::exchange_failed, start);
   pool_.on_success(endpoint_id("a"));
   EXPECT_EQ(choose()->id, endpoint_id("b"));
 }
@@ -321,15 +321,15 @@
     }
   }
   EXPECT_EQ(choose({endpoint_id("b")})->id, endpoint_id("a"));
-  pool_.on_failure(endpoint_id("b"), endpoint_failure::broken, start);
+  pool_.on_failure(endpoint_id("b"), endpoint_failure::exchange_failed, start);
   EXPECT_EQ(choose()->id, endpoint_id("a"));
 }
 
 TEST_F(EndpointPoolTest, UsesAllEndpointsWhileMostAreEjected)
 {
   list({record("a", 1), record("b", 1), record("c", 1)}, 5);
-  pool_.on_failure(endpoint_id("a"), endpoint_failure::broken, start);
-  pool_.on_failure(endpoint_id("b"), endpoint_failure::broken, start);
+  pool_.on_failure(endpoint_id("a"), endpoint_failure::exchange_failed, start);
+  pool_.on_failure(endpoint_id("b"), endpoint_failure::exchange_failed, start);
   std::set<endpoint_id> chosen;
   for (int i = 0; i < 12; ++i) {
     chosen.insert(choose()->id);
@@ -340,7 +340,7 @@
 TEST_F(EndpointPoolTest, UsesAnEjectedEndpointRatherThanNone)
 {
   list({record("a", 1)}, 5);
-  pool_.on_failure(endpoint_id("a"), endpoint_failure::broken, start);
+  pool_.on_failure(endpoint_id("a"), endpoint_failure::exchange_failed, start);
   EXPECT_TRUE(choose());
 }
 
@@ -587,7 +587,7 @@
 TEST_F(PrefixSourceTest, IsNotAnEjectedEndpoint)
 {
   list({at("a", "10.0.0.1"), at("b", "10.0.0.2"), at("c", "10.0.0.3")}, 5);
-  pool_.on_failure(endpoint_id("b"), endpoint_failure::broken, start);
+  pool_.on_failure(endpoint_id("b"), endpoint_failure::exchange_failed, start);
   const auto found = source({endpoint_id("a")});
   EXPECT_FALSE(found) << "c is chosen, a was tried, b is ejected";
 }
--- a/test/gateway/rate_shares_test.cc
+++ b/test/gateway/rate_shares_test.cc
@@ -39,14 +39,14 @@
     }
   }
 
-  // The daemons in `heard` hear each other; `running` daemons exist in total.
-  void share_among(const std::vector<daemon_id>& heard, std::size_t running)
+  // The daemons in `connected` have recent reports of each other; `running` daemons exist in total.
+  void share_among(const std::vector<daemon_id>& connected, std::size_t running)
   {
-    for (const auto& id : heard) {
-      auto others = heard;
+    for (const auto& id : connected) {
+      auto others = connected;
       std::erase(others, id);
       fleet_.at(id).set_fleet(
-          {.candidates = others, .live_count = heard.size(), .running_count = running}, now_);
+          {.candidates = others, .live_count = connected.size(), .running_count = running}, now_);
     }
   }
 
@@ -56,7 +56,7 @@
     int sent = 0;
     for (const auto end = now_ + time; now_ < end; now_ += 10ms) {
       for (auto& [id, shares] : fleet_) {
-        if (shares.open_at(endpoint, now_) <= now_) {
+        if (shares.next_allowed_at(endpoint, now_) <= now_) {
           shares.take(endpoint, now_);
           ++sent;
         }
@@ -68,7 +68,7 @@
   [[nodiscard]] int open_count() const
   {
     return static_cast<int>(std::count_if(fleet_.begin(), fleet_.end(), [&](const auto& it) {
-      return it.second.open_at(endpoint, now_) <= now_;
+      return it.second.next_allowed_at(endpoint, now_) <= now_;
     }));
   }
 
@@ -79,7 +79,7 @@
 TEST_F(RateSharesTest, DoNotLimitAnEndpointWithoutARate)
 {
   const rate_shares shares(daemon_id("d"));
-  EXPECT_EQ(shares.open_at(endpoint, start), start);
+  EXPECT_EQ(shares.next_allowed_at(endpoint, start), start);
 }
 
 TEST_F(RateSharesTest, AddUpToTheFullRateInFleetsOfAnySize)
@@ -113,7 +113,7 @@
   start_fleet(6, 1.0);
   run_for(8s);
   const auto holder = std::find_if(fleet_.begin(), fleet_.end(), [&](const auto& it) {
-                        return it.second.open_at(endpoint, now_ + 4s) <= now_ + 4s;
+                        return it.second.next_allowed_at(endpoint, now_ + 4s) <= now_ + 4s;
                       })->first;
   fleet_.erase(holder);
   auto left = daemons(6);
@@ -139,7 +139,7 @@
   rate_shares shares(daemon_id("d"));
   shares.set_fleet({.leaving = true}, start);
   shares.set(endpoint, 5.0, start);
-  EXPECT_GT(shares.open_at(endpoint, start + 60s), start + 60s);
+  EXPECT_GT(shares.next_allowed_at(endpoint, start + 60s), start + 60s);
 }
 
 TEST_F(RateSharesTest, ProbeAnEndpointWithRateZeroOnceAMinute)
@@ -153,7 +153,7 @@
 {
   start_fleet(60, 2.0);
   EXPECT_TRUE(std::any_of(fleet_.begin(), fleet_.end(), [&](const auto& it) {
-    return it.second.open_at(endpoint, now_ + 60s) == now_ + 60s + 500ms;
+    return it.second.next_allowed_at(endpoint, now_ + 60s) == now_ + 60s + 500ms;
   }));
 }
 
--- a/test/gateway/retry_policy_test.cc
+++ b/test/gateway/retry_policy_test.cc
@@ -14,7 +14,7 @@
  protected:
   // Number of calls that one loop in each of `daemons` makes in `time` while every call fails
   // immediately.
-  int calls_of_fleet(std::size_t daemons, milliseconds time, bool peers_tell)
+  int calls_of_fleet(std::size_t daemons, milliseconds time, bool peers_relay_store)
   {
     int calls = 0;
     for (std::size_t n = 0; n < daemons; ++n) {
@@ -22,8 +22,8 @@
       unsigned failures = 0;
       for (milliseconds at{0}; at < time;) {
         ++calls;
-        at +=
-            policy.backoff_after(++failures, {.daemons = daemons, .peers_relay_store = peers_tell});
+        at += policy.backoff_after(++failures,
+                                   {.daemons = daemons, .peers_relay_store = peers_relay_store});
       }
     }
     return calls;
--- a/test/gateway/return_time_test.cc
+++ b/test/gateway/return_time_test.cc
@@ -14,9 +14,9 @@
 
 class ReturnTimeTest : public testing::Test {
  protected:
-  mono_time at(std::optional<mono_time> open_at, int rank)
+  mono_time at(std::optional<mono_time> available_at, int rank)
   {
-    return retry_time({.now = start, .open_at = open_at, .rank = rank}, rng_);
+    return retry_time({.now = start, .available_at = available_at, .rank = rank}, rng_);
   }
 
   std::mt19937_64 rng_{1};
@@ -63,12 +63,12 @@
     returns.push_back(at(start + 1s, i % 3));
   }
   std::sort(returns.begin(), returns.end());
-  std::ptrdiff_t most = 0;
+  std::ptrdiff_t max_in_window = 0;
   for (auto it = returns.begin(); it != returns.end(); ++it) {
     const auto end = std::upper_bound(it, returns.end(), *it + 100ms);
-    most = std::max(most, end - it);
+    max_in_window = std::max(max_in_window, end - it);
   }
-  EXPECT_LT(most, calls / 8) << "within 100 ms";
+  EXPECT_LT(max_in_window, calls / 8) << "within 100 ms";
 }
 
 } // namespace
--- a/test/gateway/scaling_planner_test.cc
+++ b/test/gateway/scaling_planner_test.cc
@@ -115,7 +115,7 @@
   input_.busy_endpoints = 1;
   for (const auto& o : plan(start)) {
     if (o.group == group_of("a", true)) {
-      planner_.on_result(o, order_result::sold_out, start);
+      planner_.on_result(o, order_result::capacity_exhausted, start);
     }
   }
   EXPECT_FALSE(wanted(plan(start + 1s), "a", true));
@@ -127,7 +127,7 @@
   input_.busy_endpoints = 1;
   for (const auto& o : plan(start)) {
     if (o.group == group_of("b", false)) {
-      planner_.on_result(o, order_result::sold_out, start);
+      planner_.on_result(o, order_result::capacity_exhausted, start);
     }
   }
   EXPECT_EQ(wanted(plan(start + 500ms), "c", false), 1U);
--- a/test/gateway/stated_terms_test.cc
+++ b/test/gateway/stated_terms_test.cc
@@ -51,12 +51,12 @@
 TEST_F(StatedTermsTest, ARateClosesAnEndpointUntilItsNextRequestIsDue)
 {
   EXPECT_EQ(terms_.on_answer(answer(2, start), start), terms_action::gossip);
-  EXPECT_GT(terms_.open_at(endpoint, start), start);
-  EXPECT_EQ(terms_.open_at(endpoint, start + 1s), start + 1s);
+  EXPECT_GT(terms_.next_allowed_at(endpoint, start), start);
+  EXPECT_EQ(terms_.next_allowed_at(endpoint, start + 1s), start + 1s);
   terms_.on_sent(endpoint, start + 1s);
   terms_.on_sent(endpoint, start + 1s);
-  EXPECT_GT(terms_.open_at(endpoint, start + 1'500ms), start + 1'500ms);
-  EXPECT_EQ(terms_.open_at(endpoint, start + 2s), start + 2s);
+  EXPECT_GT(terms_.next_allowed_at(endpoint, start + 1'500ms), start + 1'500ms);
+  EXPECT_EQ(terms_.next_allowed_at(endpoint, start + 2s), start + 2s);
 }
 
 TEST_F(StatedTermsTest, AnAnswerWithoutARateEndsIt)
@@ -191,8 +191,8 @@
   auto response = answer({}, start);
   response.terms.pause = 3s;
   EXPECT_EQ(terms_.on_answer(response, start), terms_action::nothing);
-  EXPECT_EQ(terms_.open_at(endpoint, start + 1s), start + 3s);
-  EXPECT_EQ(terms_.open_at(endpoint, start + 4s), start + 4s);
+  EXPECT_EQ(terms_.next_allowed_at(endpoint, start + 1s), start + 3s);
+  EXPECT_EQ(terms_.next_allowed_at(endpoint, start + 4s), start + 4s);
   EXPECT_TRUE(terms_.to_gossip(9, in_use, start).empty());
 }
 
@@ -203,7 +203,7 @@
   terms_.on_answer(response, start);
   response.terms.pause = 1s;
   terms_.on_answer(response, start + 1s);
-  EXPECT_EQ(terms_.open_at(endpoint, start + 1s), start + 3s);
+  EXPECT_EQ(terms_.next_allowed_at(endpoint, start + 1s), start + 3s);
 }
 
 TEST_F(StatedTermsTest, AnEndpointIsOpenOnceBothItsPauseAndItsRateAllowIt)
@@ -211,11 +211,11 @@
   auto response = answer(0.1, start);
   response.terms.pause = 3s;
   terms_.on_answer(response, start);
-  EXPECT_GT(terms_.open_at(endpoint, start + 4s), start + 4s);
+  EXPECT_GT(terms_.next_allowed_at(endpoint, start + 4s), start + 4s);
   response.terms.request_rate = 10;
   response.terms.pause = 60s;
   terms_.on_answer(response, start + 5s);
-  EXPECT_EQ(terms_.open_at(endpoint, start + 10s), start + 65s);
+  EXPECT_EQ(terms_.next_allowed_at(endpoint, start + 10s), start + 65s);
 }
 
 TEST_F(StatedTermsTest, APauseBelongsToOneProcess)
@@ -225,7 +225,7 @@
   terms_.on_answer(response, start);
   EXPECT_EQ(terms_.paused_count(), 1U);
   terms_.remove(endpoint);
-  EXPECT_EQ(terms_.open_at(endpoint, start), start);
+  EXPECT_EQ(terms_.next_allowed_at(endpoint, start), start);
 }
 
 TEST_F(StatedTermsTest, LeavingHoldsWhateverIsStatedLater)
--- a/test/gateway/zone_loss_replay_test.cc
+++ b/test/gateway/zone_loss_replay_test.cc
@@ -24,12 +24,12 @@
 
 struct replay_options {
   double busy = 0; // number of endpoints that the load keeps fully busy
-  unsigned most = 6;
+  unsigned max_endpoints = 6;
   std::map<availability_zone, double> prices = {
       {availability_zone("a"), 0.85}, {availability_zone("b"), 1.2}, {availability_zone("c"), 1.0}};
   std::vector<zone_loss> losses;
   // Time after a notice without reclaimable offers in any zone.
-  std::chrono::milliseconds sold_out_time{14'000};
+  std::chrono::milliseconds capacity_exhausted_time{14'000};
 };
 
 class cloud {
@@ -67,7 +67,7 @@
     for (const auto& loss : options_.losses) {
       if (loss.notice_at == now) {
         endpoints_[{.service = "chat", .zone = loss.zone, .reclaimable = true}].clear();
-        sold_out_until_ = now + options_.sold_out_time;
+        capacity_exhausted_until_ = now + options_.capacity_exhausted_time;
       }
     }
   }
@@ -76,7 +76,7 @@
   {
     scaling_input in{.service = "chat",
                      .limits = {.min_endpoints = 1,
-                                .max_endpoints = options_.most,
+                                .max_endpoints = options_.max_endpoints,
                                 .startup_time = start_time,
                                 .reclaimable_price_ratio = 0.22,
                                 .zone_prices = options_.prices},
@@ -105,8 +105,8 @@
   order_result answer_to(const endpoint_order& order, mono_time now)
   {
     auto& since = endpoints_[order.group];
-    if (order.group.reclaimable && order.wanted > since.size() && now < sold_out_until_) {
-      return order_result::sold_out;
+    if (order.group.reclaimable && order.wanted > since.size() && now < capacity_exhausted_until_) {
+      return order_result::capacity_exhausted;
     }
     since.resize(order.wanted, now + start_time);
     return order_result::accepted;
@@ -117,20 +117,20 @@
   replay_options options_;
   scaling_planner planner_{{}};
   std::map<endpoint_group, std::vector<mono_time>> endpoints_; // start of service of each endpoint
-  mono_time sold_out_until_ = start;
+  mono_time capacity_exhausted_until_ = start;
 };
 
 // Losses of three zones within twenty seconds, with a load of 58 busy endpoints.
 replay_options large_fleet()
 {
   return {.busy = 58,
-          .most = 60,
+          .max_endpoints = 60,
           .losses = {{availability_zone("b"), start + 20s},
                      {availability_zone("c"), start + 26s},
                      {availability_zone("a"), start + 40s}}};
 }
 
-unsigned fewest(const std::vector<unsigned>& served, mono_time from, mono_time to)
+unsigned min_served(const std::vector<unsigned>& served, mono_time from, mono_time to)
 {
   const auto index = [](mono_time at) { return (at - start) / 500ms; };
   return *std::min_element(served.begin() + index(from), served.begin() + index(to));
@@ -144,7 +144,8 @@
   // After the last notice, only the on-demand endpoints of all zones are left.
   const auto before_notice =
       served[static_cast<std::size_t>((options.losses[2].notice_at - start) / 500ms) - 1];
-  const auto left = fewest(served, options.losses[2].notice_at, options.losses[2].notice_at + 4s);
+  const auto left =
+      min_served(served, options.losses[2].notice_at, options.losses[2].notice_at + 4s);
   options.losses.pop_back();
   cloud without_last_loss(options);
   without_last_loss.run(options.losses[1].notice_at + 13s);
@@ -156,12 +157,12 @@
 TEST(ZoneLossReplayTest, TheLossOfTheLastZoneIsCoveredBeforeItsNotice)
 {
   auto options = large_fleet();
-  options.sold_out_time = 20s;
+  options.capacity_exhausted_time = 20s;
   cloud c(options);
   const auto served = c.run(start + 50s);
   const auto last_notice = options.losses[2].notice_at;
   constexpr double max_utilization = 0.65;
-  EXPECT_GE(fewest(served, last_notice, last_notice + 8s), options.busy / max_utilization);
+  EXPECT_GE(min_served(served, last_notice, last_notice + 8s), options.busy / max_utilization);
 }
 
 TEST(ZoneLossReplayTest, ReclaimableEndpointsTakeOverAgainAfterTheLoss)
@@ -178,7 +179,7 @@
                       {availability_zone("b"), start + 24s},
                       {availability_zone("a"), start + 25s}}});
   const auto served = c.run(start + 60s);
-  EXPECT_GE(fewest(served, start + 10s, start + 60s), 2U);
+  EXPECT_GE(min_served(served, start + 10s, start + 60s), 2U);
 }
 
 } // namespace
--- a/test/relay/attempt_test.cc
+++ b/test/relay/attempt_test.cc
@@ -78,7 +78,7 @@
   };
   fakes::run(context_, task());
   EXPECT_TRUE(result.silent);
-  EXPECT_EQ(result.outcome, gateway::attempt_outcome::broken);
+  EXPECT_EQ(result.outcome, gateway::attempt_outcome::no_valid_answer);
 }
 
 } // namespace
--- a/test/relay/crash_store_test.cc
+++ b/test/relay/crash_store_test.cc
@@ -41,7 +41,7 @@
     for (int i = 0; i < count; ++i) {
       news.crashes.push_back({.process = {.id = endpoint_id("j-" + std::to_string(i))},
                               .at = state_.fleet_time() - age,
-                              .suspects = {{content, gateway::answer_stage::not_begun}}});
+                              .suspects = {{content, gateway::answer_stage::not_started}}});
     }
     return encode_crash_report(news);
   }
--- a/test/relay/gateway_test.cc
+++ b/test/relay/gateway_test.cc
@@ -10,8 +10,8 @@
 namespace wisteriaflow::relay {
 namespace {
 
-const std::string whole_stream = "id: 1\ndata: t1\n\nid: 2\ndata: t2\n\nid: 3\ndata: t3\n\n"
-                                 "id: 4\ndata: t4\n\nid: 5\ndata: t5\n\nid: 6\ndata: t6\n\n";
+const std::string full_stream = "id: 1\ndata: t1\n\nid: 2\ndata: t2\n\nid: 3\ndata: t3\n\n"
+                                "id: 4\ndata: t4\n\nid: 5\ndata: t5\n\nid: 6\ndata: t6\n\n";
 
 class GatewayTest : public gateway_fixture {
  protected:
@@ -78,14 +78,14 @@
 {
   start();
   set_mood(endpoint_behaviour::streams);
-  EXPECT_EQ(call("POST", "/stream/1").body, whole_stream);
+  EXPECT_EQ(call("POST", "/stream/1").body, full_stream);
 }
 
 TEST_F(GatewayTest, ResumesATruncatedStreamAtAnotherEndpoint)
 {
   start();
   set_moods(endpoint_behaviour::streams_then_disconnects, endpoint_behaviour::streams);
-  EXPECT_EQ(call("POST", "/resumable/1").body, whole_stream);
+  EXPECT_EQ(call("POST", "/resumable/1").body, full_stream);
   EXPECT_EQ(endpoints_[0]->received.size(), 1U);
   EXPECT_EQ(endpoints_[1]->received.size(), 1U);
 }
--- a/test/relay/lease_keeper_test.cc
+++ b/test/relay/lease_keeper_test.cc
@@ -28,13 +28,13 @@
         "test");
   }
 
-  // Runs the keeper until it holds the lease.
+  // Calls tick() until it holds the lease.
   void acquire_lease()
   {
     const auto deadline = std::chrono::steady_clock::now() + 60s;
-    while (!keeper_.holds_lease()) {
+    while (!lease_.holds_lease()) {
       ASSERT_LT(std::chrono::steady_clock::now(), deadline) << "the lease was not acquired in time";
-      keeper_.tick();
+      lease_.tick();
       context_.restart();
       context_.run_for(10ms);
     }
@@ -52,43 +52,43 @@
   event_log log_{[](daemon::log_line) { return true; }};
   fleet_state state_{settings_for(fake_), log_};
   store_client client_{context_, state_};
-  lease_keeper keeper_{context_, state_, client_, [this] {
-                         auto uptime = read_uptime();
-                         // The real readings differ by themselves; here they differ by
-                         // suspended_ alone.
-                         uptime.since_boot = uptime.monotonic.time_since_epoch() + suspended_;
-                         return uptime;
-                       }};
+  lease_keeper lease_{context_, state_, client_, [this] {
+                        auto uptime = read_uptime();
+                        // The real readings differ by themselves; here they differ by
+                        // suspended_ alone.
+                        uptime.since_boot = uptime.monotonic.time_since_epoch() + suspended_;
+                        return uptime;
+                      }};
 };
 
 TEST_F(LeaseKeeperTest, KeepsTheLeaseAfterAShortSuspension)
 {
   acquire_lease();
   suspended_ = 200ms;
-  EXPECT_TRUE(keeper_.holds_lease());
+  EXPECT_TRUE(lease_.holds_lease());
 }
 
 TEST_F(LeaseKeeperTest, HasLostTheLeaseWhenASuspensionOutlastedIt)
 {
   acquire_lease();
   suspended_ = 5s;
-  EXPECT_FALSE(keeper_.holds_lease());
+  EXPECT_FALSE(lease_.holds_lease());
 }
 
 TEST_F(LeaseKeeperTest, AcquiresTheLeaseAgainAfterASuspension)
 {
   acquire_lease();
-  const auto before = keeper_.fencing_number();
+  const auto before = lease_.fencing_number();
   suspended_ = 5s;
   acquire_lease();
-  EXPECT_GT(keeper_.fencing_number(), before);
+  EXPECT_GT(lease_.fencing_number(), before);
 }
 
 TEST_F(LeaseKeeperTest, ReportsHowLongTheInstanceWasSuspended)
 {
   acquire_lease();
   suspended_ = 5s;
-  keeper_.tick();
+  lease_.tick();
   EXPECT_NE(state_.counters.exposition().find("suspended_ms_total 5000"), std::string::npos);
 }
 
--- a/test/relay/rate_limit_replay_test.cc
+++ b/test/relay/rate_limit_replay_test.cc
@@ -31,7 +31,7 @@
     double rate = 0;
     mono_time announced_at;
     // For each daemon the time when it first forwarded an answer with the rate.
-    std::map<std::size_t, mono_time> told_daemons;
+    std::map<std::size_t, mono_time> informed_daemons;
     std::deque<mono_time> arrivals; // within the last `window`
     std::size_t requests = 0;       // since the rate was first stated
   };
@@ -88,7 +88,7 @@
     gateway::answer_terms answer{.process = chosen->process(), .sent_at = now_, .is_signed = true};
     if (it != limited_.end()) {
       answer.terms.request_rate = it->second.rate;
-      it->second.told_daemons.try_emplace(n, now_);
+      it->second.informed_daemons.try_emplace(n, now_);
     }
     d.state.apply_answer_terms(answer, now_);
   }
@@ -101,8 +101,8 @@
     }
     auto& e = it->second;
     ++e.requests;
-    const auto first_told = e.told_daemons.find(n);
-    if (first_told == e.told_daemons.end() || first_told->second + tolerated_delay > now_ ||
+    const auto informed = e.informed_daemons.find(n);
+    if (informed == e.informed_daemons.end() || informed->second + tolerated_delay > now_ ||
         e.announced_at + grace > now_) {
       return;
     }
@@ -119,7 +119,7 @@
   {
     restart_daemon(n);
     for (auto& [id, e] : limited_) {
-      e.told_daemons.erase(n);
+      e.informed_daemons.erase(n);
     }
   }
 
@@ -231,7 +231,7 @@
   announce_rate(9, 1.0);
   for (auto& [id, e] : limited_) {
     for (std::size_t n = 0; n < daemons_.size(); ++n) {
-      e.told_daemons[n] = now_; // daemons that know the old rate must keep the new one
+      e.informed_daemons[n] = now_; // daemons that know the old rate must keep the new one
     }
   }
   run_with_calls(8s, 60);
--- a/test/relay/rollout_process_test.cc
+++ b/test/relay/rollout_process_test.cc
@@ -1,4 +1,4 @@
-// Roll-outs with real daemons before a fake store and fake endpoints: an operator orders another
+// Rollouts with real daemons before a fake store and fake endpoints: an operator orders another
 // version of a service while callers make calls.
 
 #include <algorithm>
@@ -69,8 +69,8 @@
 
   [[nodiscard]] std::size_t received(const std::string& id) const
   {
-    const auto is_it = [&](const auto& e) { return e->id() == id; };
-    return (*std::find_if(endpoints_.begin(), endpoints_.end(), is_it))->received.size();
+    const auto has_id = [&](const auto& e) { return e->id() == id; };
+    return (*std::find_if(endpoints_.begin(), endpoints_.end(), has_id))->received.size();
   }
 
   void set_mood_of_new_endpoints(endpoint_behaviour mood)
--- a/test/relay/rollout_replay_test.cc
+++ b/test/relay/rollout_replay_test.cc
@@ -1,4 +1,4 @@
-// Simulates roll-outs in whole fleets: daemons with their real state try good and bad versions
+// Simulates rollouts in whole fleets: daemons with their real state try good and bad versions
 // while some daemons crash. Endpoints and the store are replaced by fakes; latencies and failures
 // of calls are random.
 
@@ -124,7 +124,7 @@
     }
   }
 
-  // The roll-out as the leader knows it; a new leader may not know it yet.
+  // The rollout as the leader knows it; a new leader may not know it yet.
   std::optional<gateway::rollout> rollout_at_leader()
   {
     const auto* known = leader().rollouts.find("chat");
@@ -150,11 +150,11 @@
   void send_call(fleet_state& state, const std::string& route)
   {
     using side = gateway::version_selection::subset;
-    const auto lane = state.version_calls.select(
+    const auto versions = state.version_calls.select(
         {.service = "chat", .route = route, .affinity_key = random_()}, false, clocks().wall);
-    const bool to_target = lane.endpoints == side::trial || lane.endpoints == side::target;
-    const auto few = lane.endpoints == side::trial ? 2 : 20;
-    const auto endpoint = (lane.trial_seed + random_() % static_cast<std::uint64_t>(few)) % 20;
+    const bool to_target = versions.endpoints == side::trial || versions.endpoints == side::target;
+    const auto few = versions.endpoints == side::trial ? 2 : 20;
+    const auto endpoint = (versions.trial_seed + random_() % static_cast<std::uint64_t>(few)) % 20;
     const gateway::call_attempt call{.service = "chat",
                                      .route = route,
                                      .version = to_target ? "v2" : "v1",
